--- a/src/hot_restart/transfer_state.h
+++ b/src/hot_restart/transfer_state.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "downstream/downstream.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 #include "upstream/upstream.h"
 
 namespace headrouter::hot_restart {
--- a/src/proxy/capture_control.h
+++ b/src/proxy/capture_control.h
@@ -7,7 +7,7 @@
 #include "admin/counters.h"
 #include "admin/log.h"
 #include "capture/recorder.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 
 namespace headrouter {
 
--- a/src/proxy/discovery_watch.h
+++ b/src/proxy/discovery_watch.h
@@ -7,7 +7,7 @@
 #include "admin/log.h"
 #include "discovery/watch_client.h"
 #include "proxy/bootstrap_config.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 #include "transport/clock.h"
 
 namespace headrouter {
--- a/src/proxy/gossip_socket.h
+++ b/src/proxy/gossip_socket.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "admin/counters.h"
-#include "proxy/gossip_interface.h"
+#include "router/gossip_interface.h"
 #include "transport/event_watcher.h"
 #include "transport/socket.h"
 
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -3,7 +3,7 @@
 #include "base/time.h"
 #include "config/cluster_config.h"
 #include "downstream/downstream.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 #include "transport/line_connection.h"
 
 namespace headrouter {
--- a/src/proxy/hot_restart_coordinator.h
+++ b/src/proxy/hot_restart_coordinator.h
@@ -15,8 +15,8 @@
 #include "proxy/bootstrap_config.h"
 #include "proxy/discovery_watch.h"
 #include "proxy/gossip_socket.h"
-#include "proxy/request_router.h"
 #include "proxy/timer_service.h"
+#include "router/request_router.h"
 #include "upstream/upstream.h"
 
 namespace headrouter {
--- a/src/proxy/active_requests.cpp
+++ b/src/router/active_requests.cpp
@@ -1,4 +1,4 @@
-#include "proxy/active_requests.h"
+#include "router/active_requests.h"
 
 #include <utility>
 
--- a/src/proxy/policy_action_queue.cpp
+++ b/src/router/policy_action_queue.cpp
@@ -1,4 +1,4 @@
-#include "proxy/policy_action_queue.h"
+#include "router/policy_action_queue.h"
 
 #include <utility>
 
--- a/src/proxy/policy_action_queue.h
+++ b/src/router/policy_action_queue.h
@@ -6,7 +6,7 @@
 #include <variant>
 
 #include "policy/balancing_policy.h"
-#include "proxy/gossip_interface.h"
+#include "router/gossip_interface.h"
 
 namespace headrouter {
 
--- a/src/proxy/request_adopter.cpp
+++ b/src/router/request_adopter.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_adopter.h"
+#include "router/request_adopter.h"
 
 #include <algorithm>
 
--- a/src/proxy/request_adopter.h
+++ b/src/router/request_adopter.h
@@ -4,7 +4,7 @@
 #pragma once
 #include "base/time.h"
 #include "discovery/endpoint_table.h"
-#include "proxy/active_requests.h"
+#include "router/active_requests.h"
 #include "upstream/upstream_interface.h"
 
 namespace headrouter {
--- a/src/proxy/request_completion.cpp
+++ b/src/router/request_completion.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_completion.h"
+#include "router/request_completion.h"
 
 #include "downstream/reply_lines.h"
 #include "transport/line_text.h"
--- a/src/proxy/request_completion.h
+++ b/src/router/request_completion.h
@@ -6,7 +6,7 @@
 #include "admin/log.h"
 #include "admin/metrics.h"
 #include "downstream/downstream_interface.h"
-#include "proxy/active_requests.h"
+#include "router/active_requests.h"
 #include "upstream/upstream_interface.h"
 
 namespace headrouter {
--- a/src/proxy/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/proxy/request_router.h
+++ b/src/router/request_router.h
@@ -14,12 +14,12 @@
 #include "discovery/endpoint_table.h"
 #include "downstream/downstream_interface.h"
 #include "downstream/request_line.h"
-#include "proxy/active_requests.h"
-#include "proxy/gossip_interface.h"
-#include "proxy/policy_action_queue.h"
-#include "proxy/request_adopter.h"
-#include "proxy/request_completion.h"
-#include "proxy/shutdown_schedule.h"
+#include "router/active_requests.h"
+#include "router/gossip_interface.h"
+#include "router/policy_action_queue.h"
+#include "router/request_adopter.h"
+#include "router/request_completion.h"
+#include "router/shutdown_schedule.h"
 #include "upstream/upstream_interface.h"
 
 namespace headrouter {
--- a/src/proxy/shutdown_schedule.cpp
+++ b/src/router/shutdown_schedule.cpp
@@ -1,4 +1,4 @@
-#include "proxy/shutdown_schedule.h"
+#include "router/shutdown_schedule.h"
 
 #include <algorithm>
 
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -16,7 +16,7 @@
 #include "hot_restart/state_version.h"
 #include "hot_restart/transfer_state.h"
 #include "policy_helpers.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 #include "upstream/upstream.h"
 
 namespace headrouter::capture {
--- a/tests/proxy/test_request_router.cpp
+++ b/tests/router/test_request_router.cpp
@@ -1,7 +1,7 @@
 #include <sstream>
 
 #include "policy_helpers.h"
-#include "proxy/request_router.h"
+#include "router/request_router.h"
 
 static const std::string settings = R"({"az":0,"discovery":"push","stepNs":2000000,
 "ceilings":{"maxLegs":3,"retryAfter":true,"maxRetryAfterNs":1500000000,"dialTimeoutNs":150000000},
--- a/tests/proxy/test_shutdown_schedule.cpp
+++ b/tests/router/test_shutdown_schedule.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "proxy/shutdown_schedule.h"
+#include "router/shutdown_schedule.h"
 
 using namespace headrouter;
 using Order = ShutdownSchedule::Order;
