--- a/tests/ci/check_docs.sh
+++ b/tests/ci/check_docs.sh
@@ -14,7 +14,7 @@
 cat > "$tree/README.md" <<'P'
 `src/policy/placement.cpp` holds `Placement::choose` and `maxLegs`; [the map](docs/map.md), tools/lint and test_placement.
 `src/policy/NAME.h`, `tests/FOLDER/test_NAME.cpp`, `src/policy/slow_start.*`, `slow_start.h`, `Placement.ChoosesTheEmptiest`
-Passed over: `0.25`, `BUSY`, `tools/lint --all`, `build/headrouter`, `kill -TERM 1`, `server_chosen count=7`, `a-b`, `f(...)`
+Passed over: `0.25`, `BUSY`, `tools/lint --all`, `build/headrouter`, `kill -TERM 1 > out.txt`, `server_chosen count=7`, `a-b`, `f(...)`
 
     run src/no/such.cpp test_nothing
 
