--- a/tests/ci/check_docs.sh
+++ b/tests/ci/check_docs.sh
@@ -12,8 +12,10 @@
 echo 'TEST(Placement, ChoosesTheEmptiest) {}' > "$tree/tests/policy/test_placement.cpp"
 touch "$tree/tools/lint"
 cat > "$tree/README.md" <<'P'
+# The home page
 `src/policy/placement.cpp` holds `Placement::choose` and `maxLegs`; [the map](docs/map.md), tools/lint and test_placement.
 `src/policy/NAME.h`, `tests/FOLDER/test_NAME.cpp`, `src/policy/slow_start.*`, `slow_start.h`, `Placement.ChoosesTheEmptiest`
+[The map](docs/map.md#where-it-is), [again](#the-home-page)
 Passed over: `0.25`, `BUSY`, `tools/lint --all`, `build/headrouter`, `kill -TERM 1 > out.txt`, `server_chosen count=7`, `a-b`, `f(...)`
 
     run src/no/such.cpp test_nothing
@@ -22,7 +24,7 @@
 tools/nothing `gone_name`
 ```
 P
-echo 'The map: `slow_start.h`, `SlowStart::factor`, [home](../README.md).' > "$tree/docs/map.md"
+printf '## Where it is?\n\nThe map: `slow_start.h`, `SlowStart::factor`, [home](../README.md).\n' > "$tree/docs/map.md"
 echo '`gone_type` and src/gone.cpp, as they were then' > "$tree/docs/results.md"
 cp "$tree/docs/results.md" "$tree/docs/incidents/one.md"
 
@@ -50,6 +52,8 @@
 expect_reported README.md 'see `src/policy/gone.cpp`' "'src/policy/gone.cpp' no such file or folder"
 expect_reported README.md 'see src/gone/ for it' "'src/gone/' no such file or folder"
 expect_reported docs/map.md '[there](gone.md)' "'gone.md' no such file or folder"
+expect_reported README.md '[there](docs/map.md#gone)' "'docs/map.md#gone' no such section"
+expect_reported docs/map.md '[there](../README.md#where-it-is)' "'../README.md#where-it-is' no such section"
 expect_reported docs/map.md '`src/gone/NAME.h`' "'src/gone/NAME.h' no such file or folder"
 expect_reported docs/map.md '`placement.h`' "'placement.h' no file has this name"
 expect_reported docs/map.md 'shown by `test_gone`' "'test_gone' no such test"
@@ -64,6 +68,6 @@
 # Each of several is reported.
 echo '`src/one.h` and `GoneType`' >> "$tree/README.md"
 echo '`two_gone`' >> "$tree/docs/map.md"
-expect 1 "README.md:10: 'src/one.h' no such file or folder
-README.md:10: 'GoneType' does not occur in the sources
-docs/map.md:2: 'two_gone' does not occur in the sources"
+expect 1 "README.md:12: 'src/one.h' no such file or folder
+README.md:12: 'GoneType' does not occur in the sources
+docs/map.md:4: 'two_gone' does not occur in the sources"
