--- a/src/affinity/failover_table.h
+++ b/src/affinity/failover_table.h
@@ -29,7 +29,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     std::map<std::string, Entry> entries_;
     std::deque<std::pair<std::string, TimePoint>>
         by_age_;  // each record(), also of keys recorded again since
--- a/src/affinity/group_table.h
+++ b/src/affinity/group_table.h
@@ -29,7 +29,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     void change(const std::string& group, int server, int by);
 
     std::unordered_map<std::string, std::vector<Members>> groups_;  // looked up only: its order is arbitrary
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -76,8 +76,8 @@
     int count_unselectable(TimePoint now) const { return servers_.count_unselectable(now); }
 
    private:
-    friend struct Peek;         // the tests build states directly
-    friend struct StateAccess;  // a capture keeps the whole state, and restores it
+    friend struct PolicyInspector;  // the tests build states directly
+    friend struct StateAccess;      // a capture keeps the whole state, and restores it
     // How long a queued request waits until it is looked at again.
     static constexpr Duration queue_interval = millis(20);
     // The time-out of an attempt while another could follow: a part of the setup objective, but not more
--- a/src/policy/gossip_coordinator.h
+++ b/src/policy/gossip_coordinator.h
@@ -91,7 +91,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     // Two rounds a rebalance cycle. Counts go to the round's reporter within the first time, which publishes
     // their sum after the second.
     static constexpr Duration round_time = gossip::round_time, counts_within = seconds(0.1),
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -52,7 +52,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     // The part of the latency objective from which a server counts as slow.
     static constexpr double slow_part_of_objective = 0.8;
     // The use of a server's cores that is aimed at, the least of it, and the seconds in which a backlog is
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -49,7 +49,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     // A reset costs half of a failed attempt, and an established attempt wins as much back.
     static constexpr double penalty_reset = 0.5, penalty_forgiven = 0.5, largest_penalty = 8;
     static constexpr double negligible_penalty = 0.02;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -55,7 +55,7 @@
     bool has_room(const PlacementContext&, int server, bool in_group) const;
 
    private:
-    friend struct Peek;
+    friend struct PolicyInspector;
     // Servers tried at random before all are looked at, against a pass over a large fleet for every request.
     static constexpr int random_tries = 16;
     // Servers tried that have headroom over all balancers, before the own share decides.
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -54,7 +54,7 @@
     void on_migrated(TimePoint now, int server, double load);
 
    private:
-    friend struct Peek;
+    friend struct PolicyInspector;
     // The grace from a cycle's begin until saturated servers are drained (design 5).
     static constexpr Duration drain_grace = seconds(0.5);
     // Design 5. Ten clients a cycle would empty a server of which one balancer has a handful. The floor, in
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -146,7 +146,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     // A list may name a server without weight; it still counts for something, so that shares stay finite.
     static constexpr double least_weight = 1e-3;
     // Other zones: how fast their servers' weight falls with the cost of crossing, and to what at the least.
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -33,7 +33,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     std::optional<TimePoint> started_;
     bool is_restart_expected_ = false;
     slow_start::WarmupPermits permits_;
--- a/src/policy/surplus_drain.h
+++ b/src/policy/surplus_drain.h
@@ -32,7 +32,7 @@
 
    private:
     friend struct StateAccess;
-    friend struct Peek;
+    friend struct PolicyInspector;
     SlidingWindow<cycle_clock::cycles_remembered> excess_{cycle_clock::cycle_time};
     double remaining_ = 0;
     Duration interval_;
--- a/tests/capture/captured.h
+++ b/tests/capture/captured.h
@@ -1,5 +1,5 @@
-// A small capture made in memory: an RecordingPolicy that is told a crash, a cold start and a burst by a
-// world of a few servers, and a tape that keeps what it took down.
+/// A small capture made in memory: a RecordingPolicy that lives through a crash, a cold start and a burst
+/// among a few servers, and a recorder that keeps what was recorded.
 #pragma once
 #include <unistd.h>
 
@@ -16,19 +16,20 @@
 
 namespace headrouter::capture {
 
-struct Memory : EventRecorder {
+/// Keeps a segment in memory.
+struct MemoryRecorder : EventRecorder {
     std::string bytes;
     Block open;
-    bool wants = true;
+    bool wants_new_state = true;
     uint32_t segment = 0;
-    bool wants_state() const override { return wants; }
+    bool wants_state() const override { return wants_new_state; }
     void begin_segment(TimePoint now, std::string state) override {
         finish_block();
-        SegmentHeader h{"test", "n", 77, segment++, 0, now};
-        bytes += encode(h);
-        Block b{BlockKind::state, 0, now, now, std::move(state)};
-        bytes += encode(b);
-        wants = false;
+        const SegmentHeader header{"test", "n", 77, segment++, 0, now};
+        bytes += encode(header);
+        const Block block{BlockKind::state, 0, now, now, std::move(state)};
+        bytes += encode(block);
+        wants_new_state = false;
     }
     void record(TimePoint now, std::string_view text) override {
         if (open.bytes.empty()) open.first = now;
@@ -41,123 +42,130 @@
         bytes += encode(open);
         open = Block{};
     }
-    std::string done() {
+    std::string finish() {
         finish_block();
         return bytes + encode(Block{BlockKind::index, 0, {}, {}, {}});
     }
 };
 
-// Answers what the module does, as servers would: up after a moment, BUSY now and then, a crash in the
-// middle.
-struct Story : Written {
-    RecordingPolicy ear;
-    TimePoint now = term_start;
-    std::vector<std::pair<RequestId, std::pair<ServerId, int>>> up;
-    std::unordered_map<RequestId, int> attempts;
-    Pcg32 chance{9};
+/// Answers the policy's actions as servers would: established after a moment, BUSY now and then, a crash in
+/// the middle.
+struct ScriptedDay : RecordingActions {
+    RecordingPolicy policy;
+    TimePoint now = cycle_start;
+    std::vector<std::pair<RequestId, std::pair<ServerId, int>>> established;
+    std::unordered_map<RequestId, int> attempt_counts;
+    Pcg32 random{9};
     RequestId next = 0;
-    explicit Story(EventRecorder* tape, PolicyConfig d = grouped(), uint64_t seed = 3)
-        : ear(std::move(d), seed, *this, term_start) {
-        ear.record_to(tape);
+    explicit ScriptedDay(EventRecorder* recorder, PolicyConfig config = grouped(), uint64_t seed = 3)
+        : policy(std::move(config), seed, *this, cycle_start) {
+        policy.record_to(recorder);
     }
     static PolicyConfig grouped() {
-        PolicyConfig d = deployment();
-        d.groups = true;
-        return d;
+        PolicyConfig config = make_config();
+        config.groups = true;
+        return config;
     }
-    void list(const std::vector<Endpoint>& all, EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
-        ear.on_endpoints(now, kind, all);
+    void update_endpoints(const std::vector<Endpoint>& endpoints,
+                          EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
+        policy.on_endpoints(now, kind, endpoints);
     }
-    void settle() {
-        for (const Sent& s : std::exchange(sent, {})) {
-            const int attempt = attempts[s.request]++;
-            const double u = chance.uniform();
+    /// Lets the servers answer every attempt that was started.
+    void answer_attempts() {
+        for (const StartedAttempt& started : std::exchange(attempts, {})) {
+            const int attempt = attempt_counts[started.request]++;
+            const double u = random.uniform();
             if (u < 0.1) {
-                ear.on_attempt_ended(now, s.request, attempt,
-                                     u < 0.05 ? AttemptOutcome::at_capacity : AttemptOutcome::error,
-                                     millis(3), false, {});
-                settle();
+                policy.on_attempt_ended(now, started.request, attempt,
+                                        u < 0.05 ? AttemptOutcome::at_capacity : AttemptOutcome::error,
+                                        millis(3), false, {});
+                answer_attempts();
             } else {
-                ear.on_attempt_established(now, s.request, attempt, millis(5));
-                ear.on_load_report(now, s.request, 3000 + 2000 * chance.uniform());
-                up.push_back({s.request, {s.server, attempt}});
+                policy.on_attempt_established(now, started.request, attempt, millis(5));
+                policy.on_load_report(now, started.request, 3000 + 2000 * random.uniform());
+                established.push_back({started.request, {started.server, attempt}});
             }
         }
     }
-    void ring() {
-        for (const auto& [at, token] : std::exchange(timers, {})) {
-            if (at > now)
-                timers.emplace_back(at, token);
-            else
-                ear.on_timer(now, token), settle();
+    void fire_due_timers() {
+        for (const Timer& timer : take_timers()) {
+            if (timer.due > now) {
+                timers.push_back(timer);
+            } else {
+                policy.on_timer(now, timer.token);
+                answer_attempts();
+            }
         }
     }
-    void request() {
+    void send_request() {
         ++next;
-        const Request c = headrouter::request(next, now, "key" + std::to_string(next % 50),
-                                              "group" + std::to_string(next % 13));
-        ear.on_request(now, c);
-        settle();
+        const Request arriving =
+            make_request(next, now, "key" + std::to_string(next % 50), "group" + std::to_string(next % 13));
+        policy.on_request(now, arriving);
+        answer_attempts();
     }
-    void steps(int n, Duration gap) {
-        for (int k = 0; k < n; ++k) {
+    /// `count` requests, `gap` apart.
+    void send_requests(int count, Duration gap) {
+        for (int k = 0; k < count; ++k) {
             now = now + gap;
-            request();
-            ring();
-            if (k % 7 == 3 && !up.empty()) {
-                ear.on_client_gone(now, up.front().first);
-                up.erase(up.begin());
+            send_request();
+            fire_due_timers();
+            if (k % 7 == 3 && !established.empty()) {
+                policy.on_client_gone(now, established.front().first);
+                established.erase(established.begin());
             }
-            if (k % 40 == 39) ear.on_latency_report(now, "B", 20 + k);
+            if (k % 40 == 39) policy.on_latency_report(now, "B", 20 + k);
         }
     }
     void crash(const ServerId& server) {
-        std::erase_if(up, [&](const auto& entry) {
+        std::erase_if(established, [&](const auto& entry) {
             if (entry.second.first != server) return false;
-            ear.on_attempt_ended(now, entry.first, entry.second.second, AttemptOutcome::reset, millis(1),
-                                 true, {});
+            policy.on_attempt_ended(now, entry.first, entry.second.second, AttemptOutcome::reset, millis(1),
+                                    true, {});
             return true;
         });
     }
     // A third of the servers die together and come back cold, then a burst.
-    void bad_day(int scale = 1) {
-        list(some_servers(6));
-        steps(60 * scale, millis(40));
-        crash("A"), crash("D");
-        list({Endpoint{"A", 1, EndpointState::removed, 0, 0, {}},
-              Endpoint{"D", 2, EndpointState::removed, 0, 0, {}}},
-             EndpointUpdateKind::delta);
-        steps(30 * scale, millis(40));
+    void play_bad_day(int scale = 1) {
+        update_endpoints(make_endpoints(6));
+        send_requests(60 * scale, millis(40));
+        crash("A");
+        crash("D");
+        update_endpoints({Endpoint{"A", 1, EndpointState::removed, 0, 0, {}},
+                          Endpoint{"D", 2, EndpointState::removed, 0, 0, {}}},
+                         EndpointUpdateKind::delta);
+        send_requests(30 * scale, millis(40));
         for (const char* id : {"A", "D"}) {
-            Endpoint l = listed(id, 1.5);
-            l.launched = now;
-            list({l}, EndpointUpdateKind::delta);
+            Endpoint restarted = make_endpoint(id, 1.5);
+            restarted.launched = now;
+            update_endpoints({restarted}, EndpointUpdateKind::delta);
         }
-        steps(120 * scale, millis(8));
-        PolicyConfig d = grouped();
-        d.max_retry_after = seconds(1);
-        ear.reconfigure(now, d);
-        steps(30 * scale, millis(40));
+        send_requests(120 * scale, millis(8));
+        PolicyConfig config = grouped();
+        config.max_retry_after = seconds(1);
+        policy.reconfigure(now, config);
+        send_requests(30 * scale, millis(40));
     }
 };
 
 inline std::string small_capture(int scale = 1) {
-    Memory tape;
-    Story story(&tape);
-    story.bad_day(scale);
-    return tape.done();
+    MemoryRecorder recorder;
+    ScriptedDay day(&recorder);
+    day.play_bad_day(scale);
+    return recorder.finish();
 }
 
-struct Folder {
+/// Removed with all its files at the end.
+struct TemporaryFolder {
     std::string path =
         (std::filesystem::temp_directory_path() / ("captures-" + std::to_string(getpid()))).string();
-    Folder() {
+    TemporaryFolder() {
         std::filesystem::remove_all(path);
         std::filesystem::create_directories(path);
     }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
-    ~Folder() { std::filesystem::remove_all(path); }
+    TemporaryFolder(const TemporaryFolder&) = delete;
+    TemporaryFolder& operator=(const TemporaryFolder&) = delete;
+    ~TemporaryFolder() { std::filesystem::remove_all(path); }
     std::string file(const std::string& bytes, const std::string& name = "x.hrc") const {
         std::ofstream(path + "/" + name, std::ios::binary) << bytes;
         return path + "/" + name;
--- a/tests/capture/test_golden.cpp
+++ b/tests/capture/test_golden.cpp
@@ -9,10 +9,10 @@
 
 TEST(Golden, TheRecordedDayReplaysTheSame) {
     for (int times = 0; times < 2; ++times) {
-        const ReplayResult v = replay({GOLDEN});
-        EXPECT_EQ(v.outcome, ReplayResult::Outcome::same) << v.reason;
-        EXPECT_GT(v.events, 800u);
-        EXPECT_GT(v.actions, 500u);
+        const ReplayResult result = replay({GOLDEN});
+        EXPECT_EQ(result.outcome, ReplayResult::Outcome::same) << result.reason;
+        EXPECT_GT(result.events, 800u);
+        EXPECT_GT(result.actions, 500u);
     }
 }
 
--- a/tests/gossip/test_gossip.cpp
+++ b/tests/gossip/test_gossip.cpp
@@ -1,4 +1,4 @@
-// A handful of Brains joined by a hand-made post that loses, delays, doubles and spoils what they tell.
+// A handful of policies joined by a simulated network that loses, delays, duplicates and spoils datagrams.
 #include <functional>
 
 #include "capture/policy_state.h"
@@ -6,95 +6,118 @@
 
 namespace {
 
-struct Letter {
-    TimePoint at;
-    int from, to;
+struct Datagram {
+    TimePoint due;
+    int from;
+    int to;
     std::string bytes;
 };
 
-struct Member {
-    Written w;
-    std::unique_ptr<BalancingPolicy> brain;
-    std::vector<std::pair<TimePoint, uint64_t>> timers;
-    bool dead = false;
+struct Replica {
+    RecordingActions actions;
+    std::unique_ptr<BalancingPolicy> policy;
+    std::vector<RecordingActions::Timer> timers;
+    bool is_dead = false;
 };
 
-struct Post {
-    std::vector<std::unique_ptr<Member>> members;
-    std::vector<Letter> way;
-    TimePoint now = term_start;
-    std::function<int(Letter&)> copies = [](Letter&) { return 1; };  // it may spoil and delay, too
+/// Replicas "0", "1", ... with the same servers "s0", "s1", ... and the datagrams between them.
+class SimulatedGossipNetwork {
+   public:
+    TimePoint now = cycle_start;
+    /// How many copies of a datagram arrive; may spoil and delay it, too.
+    std::function<int(Datagram&)> copies = [](Datagram&) { return 1; };
+    RequestId next_id = 1000;
 
-    Post(int n, int servers, bool allowed = true) {
-        for (int k = 0; k < n; ++k) {
-            PolicyConfig d = numbered(static_cast<uint64_t>(k));
-            d.groups = true;
-            d.replica_count = n;
-            d.gossip_enabled = allowed;
-            members.push_back(std::make_unique<Member>());
-            members[k]->brain = std::make_unique<BalancingPolicy>(d, d.replica_index + 1, members[k]->w, now);
-            std::vector<Endpoint> list;
-            for (int s = 0; s < servers; ++s) list.push_back(listed("s" + std::to_string(s)));
-            members[k]->brain->on_endpoints(now, EndpointUpdateKind::snapshot, list);
+    SimulatedGossipNetwork(int replica_count, int server_count, bool is_gossip_enabled = true) {
+        for (int k = 0; k < replica_count; ++k) {
+            PolicyConfig config = make_replica_config(static_cast<uint64_t>(k));
+            config.groups = true;
+            config.replica_count = replica_count;
+            config.gossip_enabled = is_gossip_enabled;
+            replicas_.push_back(std::make_unique<Replica>());
+            Replica& replica = *replicas_.back();
+            replica.policy =
+                std::make_unique<BalancingPolicy>(config, config.replica_index + 1, replica.actions, now);
+            std::vector<Endpoint> endpoints;
+            for (int server = 0; server < server_count; ++server)
+                endpoints.push_back(make_endpoint("s" + std::to_string(server)));
+            replica.policy->on_endpoints(now, EndpointUpdateKind::snapshot, endpoints);
         }
     }
-    int size() const { return static_cast<int>(members.size()); }
-    BalancingPolicy& brain(int k) { return *members[k]->brain; }
-    Peek peek(int k) { return Peek{brain(k)}; }
 
-    void collect() {
-        for (int k = 0; k < size(); ++k) {
-            for (const auto& t : std::exchange(members[k]->w.timers, {})) members[k]->timers.push_back(t);
-            for (const auto& [slot, bytes] : std::exchange(members[k]->w.told, {}))
-                for (int to = 0; to < size(); ++to) {
-                    if (to == k || (slot != everyone_else && slot != to)) continue;
-                    Letter l{now + millis(10), k, to, bytes};
-                    for (int n = copies(l); n > 0; --n) way.push_back(l);
-                }
-        }
-    }
+    [[nodiscard]] int size() const { return static_cast<int>(replicas_.size()); }
+    Replica& replica(int k) { return *replicas_[k]; }
+    BalancingPolicy& policy(int k) { return *replicas_[k]->policy; }
+    PolicyInspector inspect(int k) { return PolicyInspector{policy(k)}; }
 
-    void run(Duration span) {
-        for (const TimePoint end = now + span; now < end; now = now + millis(5)) {
-            // A BalancingPolicy that rings notes its new timers down in its sink, so the list stays as it is
-            // meanwhile.
-            for (const auto& m : members)
-                std::erase_if(m->timers, [&](const auto& t) {
-                    if (t.first <= now && !m->dead) m->brain->on_timer(now, t.second);
-                    return t.first <= now;
-                });
-            std::erase_if(way, [&](const Letter& l) {
-                if (l.at <= now && !members[l.to]->dead) brain(l.to).on_gossip(now, l.from, l.bytes);
-                return l.at <= now;
-            });
+    void run(Duration duration) {
+        for (const TimePoint end = now + duration; now < end; now = now + millis(5)) {
+            fire_timers();
+            deliver();
             collect();
         }
     }
 
-    // A request of a group, placed and up at once; where it went, or nowhere.
+    /// Sends a request of a group to a replica, and establishes it at once. Returns its server, or "" if it
+    /// was placed nowhere.
     ServerId place(int k, RequestId id, const std::string& group) {
-        const auto& sent = members[k]->w.sent;
-        const size_t before = sent.size();
-        brain(k).on_request(now, request(id, now, "", group));
-        if (sent.size() > before) brain(k).on_attempt_established(now, id, 0, millis(5));
+        const auto& attempts = replicas_[k]->actions.attempts;
+        const size_t before = attempts.size();
+        policy(k).on_request(now, make_request(id, now, "", group));
+        if (attempts.size() > before) policy(k).on_attempt_established(now, id, 0, millis(5));
         collect();
-        return sent.size() > before ? sent.back().server : "";
+        return attempts.size() > before ? attempts.back().server : "";
     }
-    // Connections on one server of every balancer from the one named on, by default each of its own group.
-    void stand(int from, const ServerId& server, int each) {
-        for (int k = from; k < size(); ++k)
-            for (int n = 0; n < each; ++n, ++next)
-                brain(k).on_request_adopted(now, request(next, now, "", "own" + std::to_string(next)),
-                                            server);
+    /// Lets every replica from `first_replica` on adopt connections on one server, each of its own group.
+    void adopt_connections(int first_replica, const ServerId& server, int count_each) {
+        for (int k = first_replica; k < size(); ++k)
+            for (int count = 0; count < count_each; ++count, ++next_id) {
+                const std::string group = "own" + std::to_string(next_id);
+                policy(k).on_request_adopted(now, make_request(next_id, now, "", group), server);
+            }
         collect();
     }
-    void spread(int each) {
-        for (int s = 0; s < 4; ++s) stand(0, "s" + std::to_string(s), each);
+    /// Lets every replica adopt connections on each of the first four servers.
+    void adopt_on_four_servers(int count_each) {
+        for (int server = 0; server < 4; ++server)
+            adopt_connections(0, "s" + std::to_string(server), count_each);
     }
-    RequestId next = 1000;
+
+   private:
+    void fire_timers() {
+        // A policy whose timer fires sets new ones in its actions, so the list stays as it is meanwhile.
+        for (const auto& replica : replicas_)
+            std::erase_if(replica->timers, [&](const RecordingActions::Timer& timer) {
+                if (timer.due <= now && !replica->is_dead) replica->policy->on_timer(now, timer.token);
+                return timer.due <= now;
+            });
+    }
+    void deliver() {
+        std::erase_if(in_flight_, [&](const Datagram& datagram) {
+            if (datagram.due <= now && !replicas_[datagram.to]->is_dead)
+                policy(datagram.to).on_gossip(now, datagram.from, datagram.bytes);
+            return datagram.due <= now;
+        });
+    }
+    void collect() {
+        for (int from = 0; from < size(); ++from) {
+            Replica& sender = *replicas_[from];
+            for (const auto& timer : sender.actions.take_timers()) sender.timers.push_back(timer);
+            for (const auto& [receiver, bytes] : std::exchange(sender.actions.gossip, {}))
+                for (int to = 0; to < size(); ++to) {
+                    if (to == from || (receiver != everyone_else && receiver != to)) continue;
+                    Datagram datagram{now + millis(10), from, to, bytes};
+                    for (int left = copies(datagram); left > 0; --left) in_flight_.push_back(datagram);
+                }
+        }
+    }
+
+    std::vector<std::unique_ptr<Replica>> replicas_;
+    std::vector<Datagram> in_flight_;
 };
 
-std::string held(const std::string& group, const std::string& server) {
+/// The bytes that tell that `group` is located on `server`.
+std::string group_location(const std::string& group, const std::string& server) {
     const auto name = static_cast<uint32_t>(hash_of(group) % gossip::group_modulus);
     return gossip::encode_group_locations({{name, gossip::ShortServerIds::short_id_of(server)}});
 }
@@ -103,154 +126,169 @@
 
 // A server that all balancers fill a little is full, though no single one can see it.
 TEST(Gossip, SharesAndRoomFollowThePooledCounts) {
-    Post p(10, 8);
-    for (const char* s : {"s0", "s0", "s1", "s2", "s3"}) p.stand(1, s, 1);
-    EXPECT_EQ(p.peek(0).pool_trust(p.now), 0);
-    EXPECT_TRUE(p.peek(0).room_for_group(p.now, "s0"));
-    p.run(seconds(11));
-    for (int k = 0; k < p.size(); ++k) {
-        EXPECT_EQ(p.peek(k).pool_trust(p.now), 1);
-        EXPECT_GT(p.peek(k).pooled("s0"), 14);
-        EXPECT_LT(p.peek(k).pooled("s0"), 22);
-        EXPECT_GT(p.peek(k).pool_total(), 40);
-        EXPECT_LT(p.peek(k).pool_total(), 50);
-        EXPECT_LT(p.peek(k).pooled("s5"), 8);
+    SimulatedGossipNetwork network(10, 8);
+    for (const char* s : {"s0", "s0", "s1", "s2", "s3"}) network.adopt_connections(1, s, 1);
+    EXPECT_EQ(network.inspect(0).fleet_trust(network.now), 0);
+    EXPECT_TRUE(network.inspect(0).has_room_for_group(network.now, "s0"));
+    network.run(seconds(11));
+    for (int k = 0; k < network.size(); ++k) {
+        EXPECT_EQ(network.inspect(k).fleet_trust(network.now), 1);
+        EXPECT_GT(network.inspect(k).fleet_load("s0"), 14);
+        EXPECT_LT(network.inspect(k).fleet_load("s0"), 22);
+        EXPECT_GT(network.inspect(k).fleet_total(), 40);
+        EXPECT_LT(network.inspect(k).fleet_total(), 50);
+        EXPECT_LT(network.inspect(k).fleet_load("s5"), 8);
+    }
+    for (int times = 0; times < 3; ++times) {
+        network.adopt_connections(1, "s0", 4);
+        network.run(seconds(5));
     }
-    for (int n = 0; n < 3; ++n) p.stand(1, "s0", 4), p.run(seconds(5));
-    p.run(seconds(20));  // a sum leads no farther than half as much again, so it takes some; a few are shed
-    EXPECT_GT(p.peek(0).pooled("s0"), 80);
-    EXPECT_FALSE(p.peek(0).room_for_group(p.now, "s0"));
-    EXPECT_TRUE(p.peek(0).room_for_group(p.now, "s5"));
+    network.run(
+        seconds(20));  // a sum leads no farther than half as much again, so it takes some; a few are shed
+    EXPECT_GT(network.inspect(0).fleet_load("s0"), 80);
+    EXPECT_FALSE(network.inspect(0).has_room_for_group(network.now, "s0"));
+    EXPECT_TRUE(network.inspect(0).has_room_for_group(network.now, "s5"));
 }
 
 TEST(Gossip, WhoHoldsAGroupIsTold) {
-    Post p(4, 6);
-    p.spread(2);
-    p.run(seconds(11));
-    const ServerId first = p.place(0, 1, "lecture"), other = first == "s5" ? "s4" : "s5";
-    p.brain(0).on_request_adopted(p.now, request(2, p.now, "", "concert"), other);  // where no draw sends it
-    p.run(seconds(1));
+    SimulatedGossipNetwork network(4, 6);
+    network.adopt_on_four_servers(2);
+    network.run(seconds(11));
+    const ServerId first = network.place(0, 1, "lecture"), other = first == "s5" ? "s4" : "s5";
+    network.policy(0).on_request_adopted(network.now, make_request(2, network.now, "", "concert"),
+                                         other);  // where no draw sends it
+    network.run(seconds(1));
     for (int k = 1; k < 4; ++k)
-        EXPECT_TRUE(p.place(k, 10 + k, "lecture") == first && p.place(k, 20 + k, "concert") == other);
+        EXPECT_TRUE(network.place(k, 10 + k, "lecture") == first &&
+                    network.place(k, 20 + k, "concert") == other);
 }
 
 // Everything lost: each acts as where no message is permitted, send for send.
 TEST(Gossip, WithAllLostAllIsAsWithNonePermitted) {
-    Post lost(4, 6), none(4, 6, false);
-    lost.copies = [](Letter&) { return 0; };
-    for (Post* p : {&lost, &none}) {
-        p->spread(2);
-        p->run(seconds(11));
-        for (RequestId id = 1; id <= 40; ++id, p->run(millis(200)))
-            p->place(static_cast<int>(id) % 4, id, "g" + std::to_string(id % 7));
+    SimulatedGossipNetwork lost(4, 6), none(4, 6, false);
+    lost.copies = [](Datagram&) { return 0; };
+    for (SimulatedGossipNetwork* network : {&lost, &none}) {
+        network->adopt_on_four_servers(2);
+        network->run(seconds(11));
+        for (RequestId id = 1; id <= 40; ++id) {
+            network->place(static_cast<int>(id) % 4, id, "g" + std::to_string(id % 7));
+            network->run(millis(200));
+        }
     }
     for (int k = 0; k < 4; ++k) {
-        const auto &a = lost.members[k]->w.sent, &b = none.members[k]->w.sent;
-        EXPECT_EQ(lost.peek(k).pool_trust(lost.now), 0);
-        EXPECT_EQ(a.size(), b.size());
-        for (size_t n = 0; n < a.size(); ++n) EXPECT_EQ(a[n].server, b[n].server);
+        const auto& with_losses = lost.replica(k).actions.attempts;
+        const auto& without_gossip = none.replica(k).actions.attempts;
+        EXPECT_EQ(lost.inspect(k).fleet_trust(lost.now), 0);
+        EXPECT_EQ(with_losses.size(), without_gossip.size());
+        for (size_t n = 0; n < with_losses.size(); ++n)
+            EXPECT_EQ(with_losses[n].server, without_gossip[n].server);
     }
 }
 
 TEST(Gossip, WhatIsNotToldAgainFades) {
-    Post p(4, 4);
-    p.spread(2);
-    p.run(seconds(11));
-    p.copies = [](Letter&) { return 0; };
-    p.run(seconds(18));
-    EXPECT_GT(p.peek(1).pool_trust(p.now), 0);
-    EXPECT_LT(p.peek(1).pool_trust(p.now), 1);
-    p.run(seconds(40));  // what each counts alone when its turn comes is no sum
-    EXPECT_EQ(p.peek(1).pool_trust(p.now), 0);
+    SimulatedGossipNetwork network(4, 4);
+    network.adopt_on_four_servers(2);
+    network.run(seconds(11));
+    network.copies = [](Datagram&) { return 0; };
+    network.run(seconds(18));
+    EXPECT_GT(network.inspect(1).fleet_trust(network.now), 0);
+    EXPECT_LT(network.inspect(1).fleet_trust(network.now), 1);
+    network.run(seconds(40));  // what each counts alone when its turn comes is no sum
+    EXPECT_EQ(network.inspect(1).fleet_trust(network.now), 0);
 }
 
 TEST(Gossip, DoubledLateAndSpoiltOnesDoNoHarm) {
-    Post clean(6, 4), rough(6, 4);
+    SimulatedGossipNetwork clean(6, 4), rough(6, 4);
     int n = 0;
-    rough.copies = [&](Letter& l) {
-        if (++n % 7 == 0) l.bytes[l.bytes.size() / 2] = '#';
-        if (n % 11 == 0) l.bytes += std::string(300, 'A');
-        if (n % 13 == 0) l.bytes[0] = '2';  // a version to come
-        if (n % 17 == 0) l.at = l.at + seconds(20);
+    rough.copies = [&](Datagram& datagram) {
+        if (++n % 7 == 0) datagram.bytes[datagram.bytes.size() / 2] = '#';
+        if (n % 11 == 0) datagram.bytes += std::string(300, 'A');
+        if (n % 13 == 0) datagram.bytes[0] = '2';  // a version to come
+        if (n % 17 == 0) datagram.due = datagram.due + seconds(20);
         return 2;
     };
-    for (Post* p : {&clean, &rough}) p->spread(2), p->run(seconds(60));
+    for (SimulatedGossipNetwork* network : {&clean, &rough}) {
+        network->adopt_on_four_servers(2);
+        network->run(seconds(60));
+    }
     for (int k = 0; k < 6; ++k) {
-        const double ratio = rough.peek(k).pool_total() / clean.peek(k).pool_total();
+        const double ratio = rough.inspect(k).fleet_total() / clean.inspect(k).fleet_total();
         EXPECT_GT(ratio, 0.5);
         EXPECT_LT(ratio, 1.5);
-        EXPECT_LT(rough.peek(k).pooled("s0"), clean.peek(k).pooled("s0") * 1.5);
+        EXPECT_LT(rough.inspect(k).fleet_load("s0"), clean.inspect(k).fleet_load("s0") * 1.5);
     }
-    BalancingPolicy& b = clean.brain(0);
+    BalancingPolicy& policy = clean.policy(0);
     for (const std::string odd : {"", "1", "1c", "1z000", "1h00", "1h", "1c00000AA0000a", "1s0000000000"})
-        EXPECT_FALSE(b.on_gossip(clean.now, 1, odd));
-    EXPECT_FALSE(b.on_gossip(clean.now, 1, std::string(1000, '1')));
-    EXPECT_FALSE(b.on_gossip(clean.now, 1, std::string("\0\xff{", 3)));
-    for (const int slot : {-1, 0, 6}) EXPECT_FALSE(b.on_gossip(clean.now, slot, "1h00000"));
-    EXPECT_TRUE(b.on_gossip(clean.now, 1, "1h00000"));
+        EXPECT_FALSE(policy.on_gossip(clean.now, 1, odd));
+    EXPECT_FALSE(policy.on_gossip(clean.now, 1, std::string(1000, '1')));
+    EXPECT_FALSE(policy.on_gossip(clean.now, 1, std::string("\0\xff{", 3)));
+    for (const int slot : {-1, 0, 6}) EXPECT_FALSE(policy.on_gossip(clean.now, slot, "1h00000"));
+    EXPECT_TRUE(policy.on_gossip(clean.now, 1, "1h00000"));
 }
 
 // One that lies in its counts, and in the sums that are its turn: a sound server keeps its room.
 TEST(Gossip, OneThatLiesCannotEmptyASoundServer) {
-    Post p(6, 4);
-    p.spread(2);
-    p.copies = [](Letter& l) {
-        const auto told = gossip::parse_message(l.bytes);
-        if (l.from != 3 || !told || told->kind == gossip::MessageKind::group_locations) return 1;
+    SimulatedGossipNetwork network(6, 4);
+    network.adopt_on_four_servers(2);
+    network.copies = [](Datagram& datagram) {
+        const auto told = gossip::parse_message(datagram.bytes);
+        if (datagram.from != 3 || !told || told->kind == gossip::MessageKind::group_locations) return 1;
         const auto most = [](const char* s) {
             return gossip::ServerLoad{gossip::ShortServerIds::short_id_of(s), 1500};
         };
-        l.bytes = gossip::encode_round_loads(told->kind, told->round, told->reporter_count, 10,
-                                             {most("s0"), most("s1")});
+        datagram.bytes = gossip::encode_round_loads(told->kind, told->round, told->reporter_count, 10,
+                                                    {most("s0"), most("s1")});
         return 1;
     };
     for (int rounds = 0; rounds < 14; ++rounds) {
-        p.run(seconds(5));
+        network.run(seconds(5));
         for (const int k : {0, 1, 2, 4, 5})
-            for (const char* s : {"s0", "s1", "s2", "s3"}) EXPECT_TRUE(p.peek(k).room_for_group(p.now, s));
+            for (const char* s : {"s0", "s1", "s2", "s3"})
+                EXPECT_TRUE(network.inspect(k).has_room_for_group(network.now, s));
     }
 }
 
 // The one whose turn it is to sum dies in its round: the next round has another.
 TEST(Gossip, TheTellerDiesInItsRound) {
-    Post p(4, 4);
-    p.spread(2);
-    p.run(seconds(15) + millis(120));
-    const int teller = static_cast<int>(p.now.ns / seconds(5).ns % 4), other = (teller + 1) % 4;
-    p.members[teller]->dead = true;
-    p.run(seconds(12));
-    EXPECT_EQ(p.peek(other).pool_trust(p.now), 1);
-    EXPECT_GT(p.peek(other).pool_total(), 20);
+    SimulatedGossipNetwork network(4, 4);
+    network.adopt_on_four_servers(2);
+    network.run(seconds(15) + millis(120));
+    const int teller = static_cast<int>(network.now.ns / seconds(5).ns % 4), other = (teller + 1) % 4;
+    network.replica(teller).is_dead = true;
+    network.run(seconds(12));
+    EXPECT_EQ(network.inspect(other).fleet_trust(network.now), 1);
+    EXPECT_GT(network.inspect(other).fleet_total(), 20);
 }
 
 // A peer's word is never ground to send where the own list does not: not listed, or draining.
 TEST(Gossip, AMessageOpensNoServer) {
-    Post p(2, 3);
-    Endpoint drains = listed("s2");
+    SimulatedGossipNetwork network(2, 3);
+    Endpoint drains = make_endpoint("s2");
     drains.state = EndpointState::draining;
-    p.brain(0).on_endpoints(p.now, EndpointUpdateKind::delta, {drains});
-    for (const char* s : {"s2", "elsewhere"}) EXPECT_TRUE(p.brain(0).on_gossip(p.now, 1, held("play", s)));
+    network.policy(0).on_endpoints(network.now, EndpointUpdateKind::delta, {drains});
+    for (const char* s : {"s2", "elsewhere"})
+        EXPECT_TRUE(network.policy(0).on_gossip(network.now, 1, group_location("play", s)));
     for (RequestId id = 1; id < 9; ++id) {
-        const ServerId to = p.place(0, id, "play");
+        const ServerId to = network.place(0, id, "play");
         EXPECT_TRUE(to == "s0" || to == "s1");
     }
 }
 
 // What all balancers send a cold server stays in its budget whatever they tell one another of it.
 TEST(Gossip, TheColdBudgetOfAllHoldsWithMessages) {
-    Post p(8, 4);
-    p.spread(2);
-    p.run(seconds(11));
-    Endpoint cold = listed("s9");
-    cold.launched = p.now;
+    SimulatedGossipNetwork network(8, 4);
+    network.adopt_on_four_servers(2);
+    network.run(seconds(11));
+    Endpoint cold = make_endpoint("s9");
+    cold.launched = network.now;
     for (int k = 0; k < 8; ++k) {
-        p.brain(k).on_endpoints(p.now, EndpointUpdateKind::delta, {cold});
-        p.brain(k).on_gossip(p.now, (k + 1) % 8, held("crowd", "s9"));
+        network.policy(k).on_endpoints(network.now, EndpointUpdateKind::delta, {cold});
+        network.policy(k).on_gossip(network.now, (k + 1) % 8, group_location("crowd", "s9"));
     }
     int there = 0;
     for (RequestId id = 1; id <= 160; ++id) {
-        there += p.place(static_cast<int>(id) % 8, id, "crowd") == "s9";
-        if (id % 8 == 0) p.run(millis(100));
+        there += network.place(static_cast<int>(id) % 8, id, "crowd") == "s9";
+        if (id % 8 == 0) network.run(millis(100));
     }
     // Up to 224 on five servers, two of its ten seconds of warming: at most 2 x 0.2 of a share, and chance.
     EXPECT_LE(there, 2 * 0.2 * 224 / 5 + 8);
@@ -258,70 +296,79 @@
 
 // Many balancers, all placing at once: what is told stays in proportion to the calls (i3fa054).
 TEST(Gossip, PairsAreEarnedByCalls) {
-    Post p(60, 6);
+    SimulatedGossipNetwork network(60, 6);
     size_t bytes = 0;
-    p.copies = [&](Letter& l) { return bytes += l.bytes[1] == 'h' ? l.bytes.size() : 0, 1; };
-    p.spread(10);  // stood before: of these nobody has earned anything
-    p.run(seconds(2));
+    network.copies = [&](Datagram& datagram) {
+        if (datagram.bytes[1] == 'h') bytes += datagram.bytes.size();
+        return 1;
+    };
+    network.adopt_on_four_servers(10);  // stood before: of these nobody has earned anything
+    network.run(seconds(2));
     EXPECT_GT(bytes, 0);
     EXPECT_LE(bytes, 60 * 2400);
     bytes = 0;
     for (RequestId id = 1; id <= 600; ++id) {
-        p.place(static_cast<int>(id) % 60, id, "h" + std::to_string(id));
-        if (id % 60 == 0) p.run(millis(200));
+        network.place(static_cast<int>(id) % 60, id, "h" + std::to_string(id));
+        if (id % 60 == 0) network.run(millis(200));
     }
     EXPECT_LE(bytes, 600 * 60 + 60 * 2400);
 }
 
 // Two balancers earn more pairs at once than a message holds: the others are told with the next member.
 TEST(Gossip, WhatDidNotFitIsToldLater) {
-    Post p(2, 6);
-    std::vector<size_t> told;
-    p.copies = [&](Letter& l) { return l.bytes[1] == 'h' ? told.push_back(l.bytes.size()), 1 : 1; };
+    SimulatedGossipNetwork network(2, 6);
+    std::vector<size_t> sizes;
+    network.copies = [&](Datagram& datagram) {
+        if (datagram.bytes[1] == 'h') sizes.push_back(datagram.bytes.size());
+        return 1;
+    };
     for (int times = 0; times < 2; ++times) {
-        for (RequestId g = 0; g < 80; ++g, ++p.next)
-            p.brain(1).on_request_adopted(p.now, request(p.next, p.now, "", "g" + std::to_string(g)), "s0");
-        p.run(seconds(1));
+        for (RequestId g = 0; g < 80; ++g, ++network.next_id)
+            network.policy(1).on_request_adopted(
+                network.now, make_request(network.next_id, network.now, "", "g" + std::to_string(g)), "s0");
+        network.run(seconds(1));
     }
-    EXPECT_EQ(told.size(), 2u);
-    EXPECT_EQ(told[0], 2 + 5 * gossip::max_location_rows);
-    EXPECT_GT(told[1], 2);
-    EXPECT_LT(told[1], told[0]);
+    EXPECT_EQ(sizes.size(), 2u);
+    EXPECT_EQ(sizes[0], 2 + 5 * gossip::max_location_rows);
+    EXPECT_GT(sizes[1], 2);
+    EXPECT_LT(sizes[1], sizes[0]);
 }
 
 // Where a crossing is dear, the home near by comes before a holder beyond it.
 TEST(Gossip, NearServersComeBeforeAFarHolder) {
-    PolicyConfig d = numbered(0);
-    d.groups = d.gossip_enabled = true;
-    d.replica_count = 2;
-    d.cross_zone_cost = 0.1;
-    auto&& [w, b, p] = Rig({listed("a"), listed("b"), listed("far", 1, 1)}, d);
-    stand(b, term_start, "a", 10, 6), stand(b, term_start, "b", 20, 6);
-    const auto round = static_cast<uint32_t>(term_start.ns / seconds(5).ns % gossip::round_modulus);
-    const TimePoint now = term_start + seconds(5.3);  // an odd round, and so the other's
-    EXPECT_TRUE(b.on_gossip(
+    PolicyConfig config = make_replica_config(0);
+    config.groups = config.gossip_enabled = true;
+    config.replica_count = 2;
+    config.cross_zone_cost = 0.1;
+    auto&& [actions, policy, inspector] =
+        PolicyFixture({make_endpoint("a"), make_endpoint("b"), make_endpoint("far", 1, 1)}, config);
+    adopt_connections(policy, cycle_start, "a", 10, 6);
+    adopt_connections(policy, cycle_start, "b", 20, 6);
+    const auto round = static_cast<uint32_t>(cycle_start.ns / seconds(5).ns % gossip::round_modulus);
+    const TimePoint now = cycle_start + seconds(5.3);  // an odd round, and so the other's
+    EXPECT_TRUE(policy.on_gossip(
         now, 1, gossip::encode_round_loads(gossip::MessageKind::round_sum, round + 1, 2, 24, {})));
-    EXPECT_EQ(p.pool_trust(now), 1);
-    EXPECT_TRUE(b.on_gossip(now, 1, held("song", "far")));
-    b.on_request(now, request(1, now, "", "song"));
-    EXPECT_NE(w.sent.back().server, "far");
-    EXPECT_TRUE(b.on_gossip(now, 1, held("song", "b")));
-    b.on_request(now, request(2, now, "", "song"));
-    EXPECT_EQ(w.sent.back().server, "b");
+    EXPECT_EQ(inspector.fleet_trust(now), 1);
+    EXPECT_TRUE(policy.on_gossip(now, 1, group_location("song", "far")));
+    policy.on_request(now, make_request(1, now, "", "song"));
+    EXPECT_NE(actions.attempts.back().server, "far");
+    EXPECT_TRUE(policy.on_gossip(now, 1, group_location("song", "b")));
+    policy.on_request(now, make_request(2, now, "", "song"));
+    EXPECT_EQ(actions.attempts.back().server, "b");
 }
 
 // What was pooled and heard is part of the state that captures and a new process take over.
 TEST(Gossip, AStateBringsPooledKnowledgeAlong) {
-    Post p(4, 6);
-    p.spread(2);
-    p.run(seconds(11));
-    p.brain(0).on_gossip(p.now, 1, held("concert", "s5"));
-    Written w;
-    BalancingPolicy other(deployment(), 9, w, p.now);
-    capture::restore(other, capture::state_of(p.brain(0)));
-    EXPECT_EQ(Peek{other}.pool_trust(p.now), 1);
-    EXPECT_EQ(Peek{other}.pooled("s0"), p.peek(0).pooled("s0"));
-    other.on_request(p.now, request(1, p.now, "", "concert"));
-    EXPECT_EQ(w.sent.back().server, "s5");
+    SimulatedGossipNetwork network(4, 6);
+    network.adopt_on_four_servers(2);
+    network.run(seconds(11));
+    network.policy(0).on_gossip(network.now, 1, group_location("concert", "s5"));
+    RecordingActions actions;
+    BalancingPolicy other(make_config(), 9, actions, network.now);
+    capture::restore(other, capture::state_of(network.policy(0)));
+    EXPECT_EQ(PolicyInspector{other}.fleet_trust(network.now), 1);
+    EXPECT_EQ(PolicyInspector{other}.fleet_load("s0"), network.inspect(0).fleet_load("s0"));
+    other.on_request(network.now, make_request(1, network.now, "", "concert"));
+    EXPECT_EQ(actions.attempts.back().server, "s5");
     EXPECT_GT(capture::state_of(other).size(), 0u);
 }
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -112,7 +112,7 @@
 
     static ClusterConfig config() {
         ClusterConfig config;
-        config.policy = deployment();
+        config.policy = make_config();
         config.request_class_names = {"any"};
         return config;
     }
@@ -154,8 +154,8 @@
 }
 
 TEST(StateForm, TheFieldsOfThePolicyAreThoseOfItsVersion) {
-    Written actions;
-    BalancingPolicy policy(deployment(), 1, actions, term_start);
+    RecordingActions actions;
+    BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     capture::FieldRecorder fields;
     StateAccess::visit_state(fields, policy);
     EXPECT_EQ(wrapped(fields.types()), read_whole(pinned("policy-fields", ".txt"))) << what_to_do;
--- a/tests/policy/test_rules.cpp
+++ b/tests/policy/test_rules.cpp
@@ -3,27 +3,29 @@
 #include "policy_helpers.h"
 
 static std::vector<Endpoint> four() {
-    return {listed("a", 1, 0, 0), listed("b", 1, 0, 1), listed("c", 1, 1, 0), listed("d", 1, 1, 2)};
+    return {make_endpoint("a", 1, 0, 0), make_endpoint("b", 1, 0, 1), make_endpoint("c", 1, 1, 0),
+            make_endpoint("d", 1, 1, 2)};
 }
 
-static void end(BalancingPolicy& b, RequestId id, AttemptOutcome ending, Duration after = millis(10)) {
-    const int attempt = static_cast<int>(Peek{b}.request(id).attempts.size()) - 1;
-    b.on_attempt_ended(term_start + after, id, attempt, ending, after, false, {});
+static void end_attempt(BalancingPolicy& policy, RequestId id, AttemptOutcome ending,
+                        Duration after = millis(10)) {
+    const int attempt = static_cast<int>(PolicyInspector{policy}.request(id).attempts.size()) - 1;
+    policy.on_attempt_ended(cycle_start + after, id, attempt, ending, after, false, {});
 }
 
 TEST(Rules, RepeatableMayRunAgain) {
-    auto&& [w, b, p] = Rig(four(), deployment());
-    b.on_request(term_start, request(1, term_start));
-    end(b, 1, AttemptOutcome::timed_out);
-    EXPECT_EQ(w.sent.size(), 2u);
-    EXPECT_NE(w.sent[0].server, w.sent[1].server);
-    end(b, 1, AttemptOutcome::reset);
-    end(b, 1, AttemptOutcome::error);
-    EXPECT_EQ(w.sent.size(), 4u);
-    EXPECT_TRUE(w.rejected.empty());
-    end(b, 1, AttemptOutcome::error);  // the fourth and last attempt
-    EXPECT_EQ(w.sent.size(), 4u);
-    EXPECT_EQ(w.rejected.size(), 1u);
+    auto&& [actions, policy, inspector] = PolicyFixture(four(), make_config());
+    policy.on_request(cycle_start, make_request(1, cycle_start));
+    end_attempt(policy, 1, AttemptOutcome::timed_out);
+    EXPECT_EQ(actions.attempts.size(), 2u);
+    EXPECT_NE(actions.attempts[0].server, actions.attempts[1].server);
+    end_attempt(policy, 1, AttemptOutcome::reset);
+    end_attempt(policy, 1, AttemptOutcome::error);
+    EXPECT_EQ(actions.attempts.size(), 4u);
+    EXPECT_TRUE(actions.rejected.empty());
+    end_attempt(policy, 1, AttemptOutcome::error);  // the fourth and last attempt
+    EXPECT_EQ(actions.attempts.size(), 4u);
+    EXPECT_EQ(actions.rejected.size(), 1u);
 }
 
 TEST(Rules, OnceOnlyGoesOnOnlyWhileNothingCanHaveRun) {
@@ -33,57 +35,58 @@
           AttemptOutcome::cancelled}) {
         const bool never = ending == AttemptOutcome::at_capacity ||
                            ending == AttemptOutcome::connect_failed || ending == AttemptOutcome::not_sent;
-        auto&& [w, b, p] = Rig(four(), deployment(Idempotency::non_idempotent));
-        b.on_request(term_start, request(1, term_start));
-        end(b, 1, ending);
-        EXPECT_EQ(w.sent.size(), (never ? 2 : 1));
-        EXPECT_TRUE(w.rejected.empty());
-        EXPECT_EQ(w.released.size(), (never ? 0 : 1));
+        auto&& [actions, policy, inspector] = PolicyFixture(four(), make_config(Idempotency::non_idempotent));
+        policy.on_request(cycle_start, make_request(1, cycle_start));
+        end_attempt(policy, 1, ending);
+        EXPECT_EQ(actions.attempts.size(), (never ? 2 : 1));
+        EXPECT_TRUE(actions.rejected.empty());
+        EXPECT_EQ(actions.failed.size(), (never ? 0 : 1));
     }
 }
 
 TEST(Rules, ReferencedStaysInItsZoneOrCell) {
     for (const DedupScope dedup_scope : {DedupScope::zone, DedupScope::cell}) {
-        auto&& [w, b, p] = Rig(four(), deployment(Idempotency::keyed, dedup_scope));
-        b.on_request(term_start, request(1, term_start));
-        end(b, 1, AttemptOutcome::timed_out);
-        end(b, 1, AttemptOutcome::timed_out);
-        const auto group = [&, &p = p](const ServerId& s) {
-            const Endpoint& l = p.server(s).endpoint;
+        auto&& [actions, policy, inspector] =
+            PolicyFixture(four(), make_config(Idempotency::keyed, dedup_scope));
+        policy.on_request(cycle_start, make_request(1, cycle_start));
+        end_attempt(policy, 1, AttemptOutcome::timed_out);
+        end_attempt(policy, 1, AttemptOutcome::timed_out);
+        const auto group = [&, &inspector = inspector](const ServerId& s) {
+            const Endpoint& l = inspector.server(s).endpoint;
             return dedup_scope == DedupScope::zone ? l.zone : l.cell;
         };
-        for (const auto& s : w.sent) EXPECT_EQ(group(s.server), group(w.sent[0].server));
-        EXPECT_TRUE(w.rejected.empty());
+        for (const auto& s : actions.attempts) EXPECT_EQ(group(s.server), group(actions.attempts[0].server));
+        EXPECT_TRUE(actions.rejected.empty());
     }
 }
 
 TEST(Rules, ReferencedStopsAfterItsWindowAndIsReleasedWhereNotAllKnowIt) {
-    PolicyConfig d = deployment(Idempotency::keyed, DedupScope::zone);
-    d.request_classes[0].dedup_window = millis(500);
-    auto&& [w, b, p] = Rig(four(), d);
-    b.on_request(term_start, request(1, term_start));
-    end(b, 1, AttemptOutcome::timed_out, millis(500));
-    EXPECT_EQ(w.sent.size(), 1u);
-    EXPECT_EQ(w.released.size(), 1u);
-    EXPECT_TRUE(w.rejected.empty());
+    PolicyConfig config = make_config(Idempotency::keyed, DedupScope::zone);
+    config.request_classes[0].dedup_window = millis(500);
+    auto&& [actions, policy, inspector] = PolicyFixture(four(), config);
+    policy.on_request(cycle_start, make_request(1, cycle_start));
+    end_attempt(policy, 1, AttemptOutcome::timed_out, millis(500));
+    EXPECT_EQ(actions.attempts.size(), 1u);
+    EXPECT_EQ(actions.failed.size(), 1u);
+    EXPECT_TRUE(actions.rejected.empty());
 
-    d.request_classes[0].dedup_scope = DedupScope::all;
-    auto&& [all, c, q] = Rig(four(), d);
-    c.on_request(term_start, request(1, term_start));
-    end(c, 1, AttemptOutcome::timed_out, millis(500));
-    EXPECT_EQ(all.sent.size(), 1u);
-    EXPECT_EQ(all.rejected.size(), 1u);
+    config.request_classes[0].dedup_scope = DedupScope::all;
+    auto&& [other_actions, other_policy, other_inspector] = PolicyFixture(four(), config);
+    other_policy.on_request(cycle_start, make_request(1, cycle_start));
+    end_attempt(other_policy, 1, AttemptOutcome::timed_out, millis(500));
+    EXPECT_EQ(other_actions.attempts.size(), 1u);
+    EXPECT_EQ(other_actions.rejected.size(), 1u);
 }
 
 TEST(Rules, NothingNewForDrainingOrGoneServers) {
-    auto&& [w, b, p] = Rig(four(), deployment());
-    std::vector<Endpoint> change = {listed("a"), listed("b"), listed("c")};
+    auto&& [actions, policy, inspector] = PolicyFixture(four(), make_config());
+    std::vector<Endpoint> change = {make_endpoint("a"), make_endpoint("b"), make_endpoint("c")};
     change[0].state = change[1].state = EndpointState::draining;
     change[2].state = EndpointState::removed;
-    b.on_endpoints(term_start, EndpointUpdateKind::delta, change);
-    for (RequestId id = 1; id <= 20; ++id) b.on_request(term_start, request(id, term_start));
-    for (const auto& s : w.sent) EXPECT_EQ(s.server, "d");
-    EXPECT_EQ(w.sent.size(), 20u);
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, change);
+    for (RequestId id = 1; id <= 20; ++id) policy.on_request(cycle_start, make_request(id, cycle_start));
+    for (const auto& s : actions.attempts) EXPECT_EQ(s.server, "d");
+    EXPECT_EQ(actions.attempts.size(), 20u);
 }
 
 // 300 balancers of three connections each, forty servers, five of them half warm: who has a permit for one
@@ -94,17 +97,17 @@
     for (const bool grouped : {false, true}) {
         int cold = 0;
         for (uint64_t k = 0; k < 300; ++k) {
-            std::vector<Endpoint> list = some_servers(40);
+            std::vector<Endpoint> list = make_endpoints(40);
             for (Endpoint& l : list) l.weight = 1;
-            for (size_t n = 0; n < 5; ++n) list[n].launched = term_start - seconds(5);
-            PolicyConfig told = numbered(k);
-            told.replica_count = 300;
-            auto&& [w, b, p] = Rig(list, told);
+            for (size_t n = 0; n < 5; ++n) list[n].launched = cycle_start - seconds(5);
+            PolicyConfig config = make_replica_config(k);
+            config.replica_count = 300;
+            auto&& [actions, policy, inspector] = PolicyFixture(list, config);
             for (RequestId id = 0; id < 3; ++id)
-                stand(b, term_start, list[5 + (k + id * 7) % 35].server, id, 1);
-            const TimePoint now = term_start + seconds(1.5);
-            b.on_request(now, request(9, now, "", grouped ? "g" + std::to_string(k) : ""));
-            for (size_t n = 0; n < 5; ++n) cold += w.sent.at(0).server == list[n].server;
+                adopt_connections(policy, cycle_start, list[5 + (k + id * 7) % 35].server, id, 1);
+            const TimePoint now = cycle_start + seconds(1.5);
+            policy.on_request(now, make_request(9, now, "", grouped ? "g" + std::to_string(k) : ""));
+            for (size_t n = 0; n < 5; ++n) cold += actions.attempts.at(0).server == list[n].server;
         }
         EXPECT_GE(cold, 24);
         EXPECT_LE(cold, 32);
@@ -114,21 +117,21 @@
 // A cold server gets no more than makes it fall within the time that the rule names, whatever is asked, and
 // also when what it was sent has ended again.
 TEST(Rules, AColdServerHasABudget) {
-    Endpoint cold = listed("cold");
-    cold.launched = term_start;
-    auto&& [w, b, p] = Rig({listed("a"), cold});
-    stand(b, term_start, "a", 1, 40);
+    Endpoint cold = make_endpoint("cold");
+    cold.launched = cycle_start;
+    auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), cold});
+    adopt_connections(policy, cycle_start, "a", 1, 40);
     // It carries 20 when warm, in ten seconds: three times that rate is 6 a second. Asked all the time from
     // the fourth second on, and at the fifth by a hundred at one stroke.
     std::vector<TimePoint> sent;
     RequestId id = 100;
-    for (TimePoint now = term_start + seconds(4); now < term_start + seconds(9); now = now + millis(50))
-        for (int n = now == term_start + seconds(5) ? 100 : 1; n > 0; --n, ++id) {
-            const size_t before = w.sent.size();
-            b.on_request(now, request(id, now));
-            EXPECT_EQ(w.sent.size(), before + 1);
-            if (w.sent.back().server == "cold") sent.push_back(now);
-            b.on_attempt_ended(now, id, 0, AttemptOutcome::completed, {}, true, {});
+    for (TimePoint now = cycle_start + seconds(4); now < cycle_start + seconds(9); now = now + millis(50))
+        for (int n = now == cycle_start + seconds(5) ? 100 : 1; n > 0; --n, ++id) {
+            const size_t before = actions.attempts.size();
+            policy.on_request(now, make_request(id, now));
+            EXPECT_EQ(actions.attempts.size(), before + 1);
+            if (actions.attempts.back().server == "cold") sent.push_back(now);
+            policy.on_attempt_ended(now, id, 0, AttemptOutcome::completed, {}, true, {});
         }
     for (const TimePoint from : sent) {
         const auto within = [&](TimePoint at) { return at >= from && at - from < seconds(1); };
@@ -142,29 +145,29 @@
 // servers over together. All hear of the server at once, everything else drains, and a storm of requests that
 // come back asks for nothing else.
 TEST(Rules, HundredsOfBalancersKeepAColdServersBudgetTogether) {
-    std::vector<Endpoint> list = some_servers(20);
+    std::vector<Endpoint> list = make_endpoints(20);
     for (Endpoint& l : list) l.weight = 1;
-    list[0].launched = term_start;
+    list[0].launched = cycle_start;
     std::vector<int> attempts(110);
     for (uint64_t k = 0; k < 300; ++k) {
-        PolicyConfig told = numbered(k);
-        told.replica_count = 300;
-        auto&& [w, b, p] = Rig(list, told);
+        PolicyConfig config = make_replica_config(k);
+        config.replica_count = 300;
+        auto&& [actions, policy, inspector] = PolicyFixture(list, config);
         for (RequestId id = 0; id < 6; ++id)
-            stand(b, term_start, ServerId(1, static_cast<char>('B' + id)), id, 1);
+            adopt_connections(policy, cycle_start, ServerId(1, static_cast<char>('B' + id)), id, 1);
         for (Endpoint& l : list) l.state = l.server == "A" ? EndpointState::active : EndpointState::draining;
-        b.on_endpoints(term_start, EndpointUpdateKind::delta, list);
+        policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, list);
         for (Endpoint& l : list) l.state = EndpointState::active;
         for (size_t step = 1; step < 100; ++step) {
-            const TimePoint now = term_start + millis(100) * static_cast<double>(step);
+            const TimePoint now = cycle_start + millis(100) * static_cast<double>(step);
             for (RequestId id = 0; id < 3; ++id) {
                 const RequestId n = step * 10 + id;
-                b.on_request(now, request(n, now));
-                b.on_attempt_ended(now, n, 0, AttemptOutcome::completed, {}, true, {});
-                b.on_client_gone(now, n);  // a held one
+                policy.on_request(now, make_request(n, now));
+                policy.on_attempt_ended(now, n, 0, AttemptOutcome::completed, {}, true, {});
+                policy.on_client_gone(now, n);  // a held one
             }
-            attempts[step] += static_cast<int>(w.sent.size());
-            w.sent.clear();
+            attempts[step] += static_cast<int>(actions.attempts.size());
+            actions.attempts.clear();
         }
     }
     // 1,800 connections on twenty servers: it carries 90 when warm, in ten seconds; three times that is 27 in
@@ -181,50 +184,50 @@
 }
 
 TEST(Rules, OnlyAColdServerLeftHoldsCallsUntilTheBudgetIsBack) {
-    Endpoint cold = listed("cold");
-    cold.launched = term_start;
-    auto&& [w, b, p] = Rig({cold});
-    const TimePoint now = term_start + seconds(1);
-    for (RequestId id = 1; id <= 5; ++id) b.on_request(now, request(id, now));
-    EXPECT_EQ(w.sent.size(), 1u);
-    EXPECT_TRUE(w.rejected.empty());
-    EXPECT_TRUE(p.request(2).queued);
-    EXPECT_TRUE(p.request(5).queued);
+    Endpoint cold = make_endpoint("cold");
+    cold.launched = cycle_start;
+    auto&& [actions, policy, inspector] = PolicyFixture({cold});
+    const TimePoint now = cycle_start + seconds(1);
+    for (RequestId id = 1; id <= 5; ++id) policy.on_request(now, make_request(id, now));
+    EXPECT_EQ(actions.attempts.size(), 1u);
+    EXPECT_TRUE(actions.rejected.empty());
+    EXPECT_TRUE(inspector.request(2).queued);
+    EXPECT_TRUE(inspector.request(5).queued);
 }
 
 TEST(Rules, AHeldCallIsAnsweredBeforeItsGuardTime) {
-    Written w;
-    BalancingPolicy b(deployment(), 1, w, term_start);
-    b.on_request(term_start, request(1, term_start));  // no server is known
-    EXPECT_TRUE(w.sent.empty());
-    EXPECT_TRUE(w.rejected.empty());
-    TimePoint now = term_start;
-    for (int k = 0; k < 500 && w.rejected.empty(); ++k)
-        for (const auto& [at, token] : Peek::due(w))
-            if (at < term_start + seconds(2)) b.on_timer(now = std::max(now, at), token);
-    EXPECT_EQ(w.rejected.size(), 1u);
-    EXPECT_LT(now, term_start + seconds(2));
-    EXPECT_GT(now, term_start + seconds(1.8));
+    RecordingActions actions;
+    BalancingPolicy policy(make_config(), 1, actions, cycle_start);
+    policy.on_request(cycle_start, make_request(1, cycle_start));  // no server is known
+    EXPECT_TRUE(actions.attempts.empty());
+    EXPECT_TRUE(actions.rejected.empty());
+    TimePoint now = cycle_start;
+    for (int k = 0; k < 500 && actions.rejected.empty(); ++k)
+        for (const auto& [at, token] : actions.take_timers())
+            if (at < cycle_start + seconds(2)) policy.on_timer(now = std::max(now, at), token);
+    EXPECT_EQ(actions.rejected.size(), 1u);
+    EXPECT_LT(now, cycle_start + seconds(2));
+    EXPECT_GT(now, cycle_start + seconds(1.8));
 }
 
 TEST(Rules, MidFlowGoesBackToTheHolderEvenWhileItDrains) {
-    PolicyConfig d = deployment();
-    d.passthrough = true;
-    d.park = seconds(5);
-    auto&& [w, b, p] = Rig(four(), d);
-    b.on_request_adopted(term_start, request(1, term_start, "k"), "c");
-    b.on_attempt_ended(term_start, 1, 0, AttemptOutcome::cancelled, seconds(1), true, {});
-    Endpoint draining = listed("c", 1, 1, 0);
+    PolicyConfig config = make_config();
+    config.passthrough = true;
+    config.park = seconds(5);
+    auto&& [actions, policy, inspector] = PolicyFixture(four(), config);
+    policy.on_request_adopted(cycle_start, make_request(1, cycle_start, "k"), "c");
+    policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::cancelled, seconds(1), true, {});
+    Endpoint draining = make_endpoint("c", 1, 1, 0);
     draining.state = EndpointState::draining;
-    b.on_endpoints(term_start, EndpointUpdateKind::delta, {draining});
-    Request back = request(2, term_start, "k");
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, {draining});
+    Request back = make_request(2, cycle_start, "k");
     back.mid_stream = true;
-    b.on_request(term_start + seconds(1), back);
-    EXPECT_EQ(w.sent.at(0).server, "c");
+    policy.on_request(cycle_start + seconds(1), back);
+    EXPECT_EQ(actions.attempts.at(0).server, "c");
     back.id = 3;
-    back.deadline = term_start + seconds(8);
-    b.on_request(term_start + seconds(6), back);  // no longer held there
-    EXPECT_NE(w.sent.at(1).server, "c");
+    back.deadline = cycle_start + seconds(8);
+    policy.on_request(cycle_start + seconds(6), back);  // no longer held there
+    EXPECT_NE(actions.attempts.at(1).server, "c");
 }
 
 // Nine of ten fresh set-ups broke at once: most that come back are given up, new requests are not, and
@@ -232,24 +235,24 @@
 // stood long.
 TEST(Rules, WhoComesBackIsGivenUpWhereSetUpsDoNotHold) {
     const auto given_up = [](bool is_reconnect, int held, Duration stood) {
-        auto&& [w, b, p] = Rig(some_servers(20));
+        auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(20));
         for (int k = 0; k < held; ++k)
-            stand(b, term_start, ServerId(1, static_cast<char>('A' + k % 20)), 500 + k, 1);
+            adopt_connections(policy, cycle_start, ServerId(1, static_cast<char>('A' + k % 20)), 500 + k, 1);
         for (RequestId id = 1; id <= 10; ++id) {
-            b.on_request(term_start, request(id, term_start));
-            b.on_attempt_established(term_start, id, 0, {});
+            policy.on_request(cycle_start, make_request(id, cycle_start));
+            policy.on_attempt_established(cycle_start, id, 0, {});
         }
-        const TimePoint now = term_start + stood;
+        const TimePoint now = cycle_start + stood;
         for (RequestId id = 1; id <= 9; ++id)
-            b.on_attempt_ended(now, id, 0, AttemptOutcome::reset, {}, true, {});
+            policy.on_attempt_ended(now, id, 0, AttemptOutcome::reset, {}, true, {});
         const TimePoint later = now + seconds(4);
         for (RequestId id = 100; id < 200; ++id) {
-            Request c = request(id, later);
+            Request c = make_request(id, later);
             c.is_reconnect = is_reconnect;
-            b.on_request(later, c);
-            b.on_client_gone(later, id);
+            policy.on_request(later, c);
+            policy.on_client_gone(later, id);
         }
-        return w.rejected.size();
+        return actions.rejected.size();
     };
     EXPECT_GT(given_up(true, 0, millis(200)), 60);
     EXPECT_EQ(given_up(false, 0, millis(200)), 0);
--- a/tests/policy/test_scale.cpp
+++ b/tests/policy/test_scale.cpp
@@ -6,10 +6,11 @@
                                            const std::string& group = "") {
     std::vector<ServerId> chosen;
     for (int k = 0; k < tier; ++k) {
-        auto&& [w, b, p] = Rig(list, numbered(static_cast<uint64_t>(k)));
-        b.on_request(term_start, request(1, term_start, "", group));
-        EXPECT_EQ(w.sent.size(), 1u);
-        chosen.push_back(w.sent[0].server);
+        auto&& [actions, policy, inspector] =
+            PolicyFixture(list, make_replica_config(static_cast<uint64_t>(k)));
+        policy.on_request(cycle_start, make_request(1, cycle_start, "", group));
+        EXPECT_EQ(actions.attempts.size(), 1u);
+        chosen.push_back(actions.attempts[0].server);
     }
     return chosen;
 }
@@ -18,7 +19,7 @@
 // request to the server of the largest weight.
 TEST(Scale, SharesUnderOneConnectionReachEveryServerByWeight) {
     std::map<ServerId, int> requests;
-    for (const ServerId& s : first_choices(600, some_servers(40))) ++requests[s];
+    for (const ServerId& s : first_choices(600, make_endpoints(40))) ++requests[s];
     EXPECT_EQ(requests.size(), 40u);  // a server of weight 1 gets 10 of 600, one of weight 2 gets 20
     int light = 0, most = 0;
     for (const auto& [s, n] : requests) light += (s[0] - 'A') % 2 == 0 ? n : 0, most = std::max(most, n);
@@ -30,10 +31,10 @@
 TEST(Scale, OneServerMoreOrLessChangesFewMembersOfTheSubsets) {
     int changed = 0;
     for (uint64_t k = 0; k < 200; ++k) {
-        auto&& [w, b, p] = Rig(some_servers(40), numbered(k));
-        const std::vector<ServerId> before = p.subset(5);
-        b.on_endpoints(term_start, EndpointUpdateKind::snapshot, some_servers(41));
-        for (const ServerId& s : p.subset(5)) changed += !std::count(before.begin(), before.end(), s);
+        auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
+        const std::vector<ServerId> before = inspector.subset(5);
+        policy.on_endpoints(cycle_start, EndpointUpdateKind::snapshot, make_endpoints(41));
+        for (const ServerId& s : inspector.subset(5)) changed += !std::count(before.begin(), before.end(), s);
     }
     EXPECT_GT(changed, 0);
     EXPECT_LT(changed, 50);  // of 1,000; its own part of them is 17 or 33
@@ -42,7 +43,7 @@
 // Every balancer that shares nothing with the others must send a group to the same few servers.
 TEST(Scale, BalancersAgreeOnAGroupsHome) {
     std::map<ServerId, int> requests;
-    for (const ServerId& s : first_choices(300, some_servers(40), "g")) ++requests[s];
+    for (const ServerId& s : first_choices(300, make_endpoints(40), "g")) ++requests[s];
     int most = 0;
     for (const auto& [s, n] : requests) most = std::max(most, n);
     EXPECT_LE(requests.size(), 4u);
@@ -54,14 +55,15 @@
     const auto home = [](bool pairs) {
         std::map<ServerId, int> requests;
         for (uint64_t k = 0; k < 100; ++k) {
-            auto&& [w, b, p] = Rig(some_servers(40), numbered(k));
+            auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
             for (RequestId id = 1; id <= 16; ++id)
-                b.on_request_adopted(
-                    term_start,
-                    request(id, term_start, "", ServerId(1, static_cast<char>('h' + (pairs ? id / 4 : id)))),
+                policy.on_request_adopted(
+                    cycle_start,
+                    make_request(id, cycle_start, "",
+                                 ServerId(1, static_cast<char>('h' + (pairs ? id / 4 : id)))),
                     ServerId(1, static_cast<char>('A' + id)));
-            b.on_request(term_start, request(100, term_start, "", "g"));
-            ++requests[w.sent.at(0).server];
+            policy.on_request(cycle_start, make_request(100, cycle_start, "", "g"));
+            ++requests[actions.attempts.at(0).server];
         }
         return requests.size();
     };
@@ -73,14 +75,14 @@
 TEST(Scale, ServersNotHeardOfAreSlowAsOftenAsTheOthers) {
     int refused = 0;
     for (uint64_t k = 0; k < 100; ++k) {
-        auto&& [w, b, p] = Rig(some_servers(40), numbered(k));
+        auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
         for (RequestId id = 1; id <= 9; ++id) {
             const ServerId s(1, static_cast<char>('A' + id));
-            stand(b, term_start, s, id, 1);
-            if (id <= 8) b.on_latency_report(term_start, s, 900);
+            adopt_connections(policy, cycle_start, s, id, 1);
+            if (id <= 8) policy.on_latency_report(cycle_start, s, 900);
         }
-        b.on_request(term_start, request(100, term_start, "", "g"));
-        refused += !w.rejected.empty();
+        policy.on_request(cycle_start, make_request(100, cycle_start, "", "g"));
+        refused += !actions.rejected.empty();
     }
     EXPECT_GT(refused, 60);
     EXPECT_LT(refused, 98);
@@ -91,16 +93,16 @@
 TEST(Scale, HundredsShedAPartBetweenThem) {
     int shed = 0;
     for (uint64_t k = 0; k < 300; ++k) {
-        auto&& [w, b, p] = Rig(some_servers(40), numbered(k));
-        stand(b, term_start, "A", 1, 1);
-        TimePoint now = term_start;
+        auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
+        adopt_connections(policy, cycle_start, "A", 1, 1);
+        TimePoint now = cycle_start;
         for (const double ms : {600, 500, 400}) {  // the backlog goes down by itself after the first note
-            b.on_latency_report(now, "A", ms);
+            policy.on_latency_report(now, "A", ms);
             now = now + seconds(1);
-            for (const auto& [at, token] : Peek::due(w))
-                if ((token & 0xff) == 3) b.on_timer(now, token);
+            for (const auto& [at, token] : actions.take_timers())
+                if ((token & 0xff) == 3) policy.on_timer(now, token);
         }
-        shed += static_cast<int>(w.moved.size());
+        shed += static_cast<int>(actions.migrated.size());
     }
     EXPECT_GT(shed, 150);
     EXPECT_LT(shed, 240);  // 54 % on the first note, 17 % of the rest on each other
@@ -108,43 +110,44 @@
 
 TEST(Scale, ANearServerComesFirstWhereCrossingIsDear) {
     for (const double price : {0.0, 0.1}) {
-        PolicyConfig d = deployment();
-        d.cross_zone_cost = price;
-        auto&& [w, b, p] = Rig({listed("near", 1, 0), listed("far", 1, 1)}, d);
-        stand(b, term_start, "near", 1, 30);
-        const double share = p.share(term_start, "far");
+        PolicyConfig config = make_config();
+        config.cross_zone_cost = price;
+        auto&& [actions, policy, inspector] =
+            PolicyFixture({make_endpoint("near", 1, 0), make_endpoint("far", 1, 1)}, config);
+        adopt_connections(policy, cycle_start, "near", 1, 30);
+        const double share = inspector.share(cycle_start, "far");
         EXPECT_TRUE(price > 0 ? share < 6 : share > 14);
     }
 }
 
 // Lists as no operator means them: sane shares or an answer in time, never a crash nor a division by nothing.
 TEST(Scale, OddListsLeaveSaneShares) {
-    auto&& [none, n, np] = Rig({});
-    n.on_request(term_start, request(1, term_start, "", "g"));
-    n.on_timer(term_start, 1);
-    EXPECT_TRUE(none.sent.empty());
-    EXPECT_TRUE(np.request(1).queued);
+    auto&& [idle_actions, idle_policy, idle_inspector] = PolicyFixture({});
+    idle_policy.on_request(cycle_start, make_request(1, cycle_start, "", "g"));
+    idle_policy.on_timer(cycle_start, 1);
+    EXPECT_TRUE(idle_actions.attempts.empty());
+    EXPECT_TRUE(idle_inspector.request(1).queued);
 
-    auto&& [one, o, op] = Rig({listed("a", 0)});
+    auto&& [one_actions, one_policy, one_inspector] = PolicyFixture({make_endpoint("a", 0)});
     for (RequestId id = 1; id <= 5; ++id)
-        o.on_request(term_start, request(id, term_start, "", id % 2 ? "g" : ""));
-    EXPECT_EQ(one.sent.size(), 5u);
+        one_policy.on_request(cycle_start, make_request(id, cycle_start, "", id % 2 ? "g" : ""));
+    EXPECT_EQ(one_actions.attempts.size(), 5u);
 
-    auto&& [w, b, p] = Rig({listed("a", 0), listed("b", 0)});
-    stand(b, term_start, "a", 1, 10);
-    EXPECT_EQ(p.share(term_start, "a"), 5);
-    EXPECT_EQ(p.share(term_start, "b"), 5);
-    Endpoint gone = listed("a");
+    auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a", 0), make_endpoint("b", 0)});
+    adopt_connections(policy, cycle_start, "a", 1, 10);
+    EXPECT_EQ(inspector.share(cycle_start, "a"), 5);
+    EXPECT_EQ(inspector.share(cycle_start, "b"), 5);
+    Endpoint gone = make_endpoint("a");
     gone.state = EndpointState::removed;
-    b.on_endpoints(term_start, EndpointUpdateKind::delta, {gone});
-    EXPECT_EQ(p.share(term_start, "b"), 10);
-    b.on_endpoints(term_start, EndpointUpdateKind::delta,
-                   {listed("a"), listed("a")});  // back under the same name, twice
-    b.on_endpoints(term_start, EndpointUpdateKind::cached,
-                   {listed("b"), listed("old")});  // older than the one held
-    b.on_request(term_start, request(50, term_start));
-    EXPECT_EQ(w.sent.size(), 1u);
-    EXPECT_NE(w.sent[0].server, "a");
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, {gone});
+    EXPECT_EQ(inspector.share(cycle_start, "b"), 10);
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta,
+                        {make_endpoint("a"), make_endpoint("a")});  // back under the same name, twice
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::cached,
+                        {make_endpoint("b"), make_endpoint("old")});  // older than the one held
+    policy.on_request(cycle_start, make_request(50, cycle_start));
+    EXPECT_EQ(actions.attempts.size(), 1u);
+    EXPECT_NE(actions.attempts[0].server, "a");
 }
 
 // 1,100 servers and as many balancers, half of the servers cold, messages permitted: every server is used by
@@ -153,31 +156,32 @@
     constexpr int many = 1100;
     std::vector<Endpoint> list;
     for (int k = 0; k < many; ++k) {
-        list.push_back(listed("s-" + std::to_string(k)));
-        if (k % 2) list.back().launched = term_start - seconds(4);
+        list.push_back(make_endpoint("s-" + std::to_string(k)));
+        if (k % 2) list.back().launched = cycle_start - seconds(4);
     }
     std::map<ServerId, int> requests;
     for (uint64_t slot = 0; slot < many; slot += 10) {
-        PolicyConfig d = numbered(slot);
-        d.replica_count = many, d.gossip_enabled = true, d.quota = 20.0 * many;
-        auto&& [w, b, p] = Rig(list, d);
+        PolicyConfig config = make_replica_config(slot);
+        config.replica_count = many, config.gossip_enabled = true, config.quota = 20.0 * many;
+        auto&& [actions, policy, inspector] = PolicyFixture(list, config);
         for (RequestId id = 1; id <= 30; ++id) {
-            const TimePoint now = term_start + seconds(2) + millis(static_cast<double>(id));
-            b.on_request(now, request(id, now));
-            EXPECT_EQ(w.sent.size(), id);
-            EXPECT_TRUE(w.rejected.empty());
-            ++requests[w.sent.back().server];
+            const TimePoint now = cycle_start + seconds(2) + millis(static_cast<double>(id));
+            policy.on_request(now, make_request(id, now));
+            EXPECT_EQ(actions.attempts.size(), id);
+            EXPECT_TRUE(actions.rejected.empty());
+            ++requests[actions.attempts.back().server];
         }
         if (slot == 0) {
-            PolicyConfig last = d;
+            PolicyConfig last = config;
             last.replica_index = many - 1;
-            auto&& [written, other, peek] = Rig(list, last);
-            stand(other, term_start, "s-1099", 1, 3);
-            for (const auto& [at, token] : Peek::due(written))
-                other.on_timer(std::max(at, term_start), token);
-            EXPECT_FALSE(written.told.empty());
-            for (const auto& [to, bytes] : written.told)
-                EXPECT_TRUE(bytes.size() <= 256 && b.on_gossip(term_start + seconds(3), many - 1, bytes));
+            auto&& [last_actions, last_policy, last_inspector] = PolicyFixture(list, last);
+            adopt_connections(last_policy, cycle_start, "s-1099", 1, 3);
+            for (const auto& [at, token] : last_actions.take_timers())
+                last_policy.on_timer(std::max(at, cycle_start), token);
+            EXPECT_FALSE(last_actions.gossip.empty());
+            for (const auto& [to, bytes] : last_actions.gossip)
+                EXPECT_TRUE(bytes.size() <= 256 &&
+                            policy.on_gossip(cycle_start + seconds(3), many - 1, bytes));
         }
     }
     size_t cold = 0;
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -1,5 +1,5 @@
-// What the tests share: a sink that writes down the actions, a view into a BalancingPolicy, and small
-// builders.
+/// What tests of the policy share: actions that are recorded, a look into a BalancingPolicy, and builders of
+/// configurations, endpoints and requests.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -11,41 +11,65 @@
 
 namespace headrouter {
 
-struct Written : PolicyActions {
-    struct Sent {
+/// Records what a policy does, in the order in which it is done.
+struct RecordingActions : PolicyActions {
+    struct StartedAttempt {
         RequestId request;
         ServerId server;
         Duration timeout;
     };
-    std::vector<Sent> sent;
-    std::vector<RequestId> rejected, released, moved;
-    std::vector<std::pair<TimePoint, uint64_t>> timers;
-    Duration advice;
-    int asks = 0;
-    void start_attempt(RequestId c, const ServerId& s, Duration t) override { sent.push_back({c, s, t}); }
-    void reject(RequestId c, Duration a) override { rejected.push_back(c), advice = a; }
-    void fail(RequestId c) override { released.push_back(c); }
-    void migrate(RequestId c) override { moved.push_back(c); }
-    void set_timer(TimePoint t, uint64_t token) override { timers.emplace_back(t, token); }
-    void watch_endpoints() override { ++asks; }
-    void send_gossip(int slot, const std::string& bytes) override { told.emplace_back(slot, bytes); }
-    std::vector<std::pair<int, std::string>> told;
+    struct Timer {
+        TimePoint due;
+        uint64_t token;
+    };
+    struct PublishedGossip {
+        int replica;  ///< to whom: a replica index or `everyone_else`
+        std::string bytes;
+    };
+
+    std::vector<StartedAttempt> attempts;
+    std::vector<RequestId> rejected;
+    std::vector<RequestId> failed;
+    std::vector<RequestId> migrated;
+    std::vector<Timer> timers;
+    Duration retry_after;  ///< of the last rejected request
+    int watch_requests = 0;
+    std::vector<PublishedGossip> gossip;
+
+    void start_attempt(RequestId request, const ServerId& server, Duration timeout) override {
+        attempts.push_back({request, server, timeout});
+    }
+    void reject(RequestId request, Duration after) override {
+        rejected.push_back(request);
+        retry_after = after;
+    }
+    void fail(RequestId request) override { failed.push_back(request); }
+    void migrate(RequestId request) override { migrated.push_back(request); }
+    void set_timer(TimePoint due, uint64_t token) override { timers.push_back({due, token}); }
+    void watch_endpoints() override { ++watch_requests; }
+    void send_gossip(int replica, const std::string& bytes) override { gossip.push_back({replica, bytes}); }
+
+    /// The timers set since the last call.
+    std::vector<Timer> take_timers() { return std::exchange(timers, {}); }
 };
 
-inline Request a_call_of_a_group(TimePoint now) {
-    Request c;
-    c.id = 1;
-    c.deadline = now + seconds(2);
-    c.group = "asked";
-    return c;
+inline Request make_group_request(TimePoint now) {
+    Request request;
+    request.id = 1;
+    request.deadline = now + seconds(2);
+    request.group = "asked";
+    return request;
 }
 
-struct Peek {
-    BalancingPolicy& b;
-    int index(const ServerId& id) { return b.servers_.find(id); }
-    ServerState& server(const ServerId& id) { return b.servers_.servers_[b.servers_.index_.at(id)]; }
-    Request& request(RequestId id) { return b.requests_.at(id); }
-    bool holds(RequestId id) { return b.requests_.contains(id); }
+/// Reads and sets the state of a policy's components.
+struct PolicyInspector {
+    BalancingPolicy& policy;
+    int index(const ServerId& id) { return policy.servers_.find(id); }
+    ServerState& server(const ServerId& id) {
+        return policy.servers_.servers_[policy.servers_.index_.at(id)];
+    }
+    Request& request(RequestId id) { return policy.requests_.at(id); }
+    bool has_request(RequestId id) { return policy.requests_.contains(id); }
 
     // A server's failures.
     double& recorded_penalty(const ServerId& id) { return server(id).outliers.failure_penalty_; }
@@ -54,114 +78,128 @@
     TimePoint& backoff_until(const ServerId& id) { return server(id).outliers.backoff_until_; }
     int& sent_in_cycle(const ServerId& id) { return server(id).outliers.sent_in_cycle_; }
     int& lost_in_cycle(const ServerId& id) { return server(id).outliers.lost_in_cycle_; }
-    double failure_penalty(TimePoint t, const ServerId& id) { return server(id).outliers.failure_penalty(t); }
-    void record_failure(TimePoint t, const ServerId& id) { b.servers_.record_failure(t, index(id), 1); }
-    bool is_selectable(TimePoint t, const ServerId& id) { return ServerTable::is_selectable(t, server(id)); }
+    double failure_penalty(TimePoint now, const ServerId& id) {
+        return server(id).outliers.failure_penalty(now);
+    }
+    void record_failure(TimePoint now, const ServerId& id) {
+        policy.servers_.record_failure(now, index(id), 1);
+    }
+    bool is_selectable(TimePoint now, const ServerId& id) {
+        return ServerTable::is_selectable(now, server(id));
+    }
 
     // Its load, its limit and its slow start.
-    double load(const ServerId& id) { return b.servers_.load_on(server(id)); }
-    double load_limit(TimePoint t, const ServerId& id) {
-        return b.servers_.rounded_load_limit(t, server(id));
+    double load(const ServerId& id) { return policy.servers_.load_on(server(id)); }
+    double load_limit(TimePoint now, const ServerId& id) {
+        return policy.servers_.rounded_load_limit(now, server(id));
     }
     double& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
     TimePoint& limited_at(const ServerId& id) { return server(id).load_limit.limited_at_; }
-    double share(TimePoint t, const ServerId& id) {
-        const FleetView fleet = b.shares_.view(t, nullptr);
-        return b.shares_.share(fleet, index(id));
+    double share(TimePoint now, const ServerId& id) {
+        const FleetView fleet = policy.shares_.view(now, nullptr);
+        return policy.shares_.share(fleet, index(id));
     }
     std::optional<TimePoint> started(const ServerId& id) { return server(id).slow_start.started(); }
     bool is_restart_expected(const ServerId& id) { return server(id).slow_start.is_restart_expected(); }
 
     // Rebalancing.
-    void plan_migrations(TimePoint t) { b.rebalance_.plan_migrations(t); }
-    void eject_outliers(TimePoint t) { b.rebalance_.eject_outliers(t); }
-    RequestId select_migration(TimePoint t, const ServerId& id) {
-        return b.rebalance_.select_migration(t, server(id));
+    void plan_migrations(TimePoint now) { policy.rebalance_.plan_migrations(now); }
+    void eject_outliers(TimePoint now) { policy.rebalance_.eject_outliers(now); }
+    RequestId select_migration(TimePoint now, const ServerId& id) {
+        return policy.rebalance_.select_migration(now, server(id));
     }
     SlidingWindow<6>& excess(const ServerId& id) { return server(id).drain.excess_; }
     double surplus(const ServerId& id) { return server(id).drain.remaining(); }
     bool& is_draining(const ServerId& id) { return server(id).drain.is_active_; }
-    void record_failover(TimePoint t, const Request& c, const ServerId& id) {
-        b.failovers_.record(t, c.key, index(id), false);
+    void record_failover(TimePoint now, const Request& request, const ServerId& id) {
+        policy.failovers_.record(now, request.key, index(id), false);
     }
-    size_t keys() { return b.failovers_.entries_.size(); }
-
-    std::vector<ServerId> subset(size_t n) {
-        std::vector<ServerId> all;
-        for (const ServerState& s : b.servers_.all()) all.push_back(s.endpoint.server);
-        std::sort(all.begin(), all.end(), [&](const ServerId& x, const ServerId& y) {
-            return b.placement_.subset_rank(index(x)) < b.placement_.subset_rank(index(y));
+    size_t recorded_failovers() { return policy.failovers_.entries_.size(); }
+
+    /// The first `size` servers of this replica's deterministic subsetting order.
+    std::vector<ServerId> subset(size_t size) {
+        std::vector<ServerId> servers;
+        for (const ServerState& server : policy.servers_.all()) servers.push_back(server.endpoint.server);
+        std::sort(servers.begin(), servers.end(), [&](const ServerId& left, const ServerId& right) {
+            return policy.placement_.subset_rank(index(left)) < policy.placement_.subset_rank(index(right));
         });
-        all.resize(n);
-        return all;
+        servers.resize(size);
+        return servers;
     }
-    double pooled(const ServerId& id) { return server(id).fleet_load; }
-    double pool_total() { return b.gossip_.fleet_total(); }
-    double pool_trust(TimePoint t) { return b.gossip_.trust(t); }
-    bool room_for_group(TimePoint t, const ServerId& id) {
-        const Request c = a_call_of_a_group(t);
-        const FleetView fleet = b.shares_.view(t, &c);
-        const PlacementContext context{t, c, fleet, b.servers_.load_of(c), -1, b.gossip_.trust(t)};
-        return b.placement_.has_room(context, index(id), true);
+
+    // What gossip brought.
+    double fleet_load(const ServerId& id) { return server(id).fleet_load; }
+    double fleet_total() { return policy.gossip_.fleet_total(); }
+    double fleet_trust(TimePoint now) { return policy.gossip_.trust(now); }
+    bool has_room_for_group(TimePoint now, const ServerId& id) {
+        const Request request = make_group_request(now);
+        const FleetView fleet = policy.shares_.view(now, &request);
+        const PlacementContext context{
+            now, request, fleet, policy.servers_.load_of(request), -1, policy.gossip_.trust(now)};
+        return policy.placement_.has_room(context, index(id), true);
     }
-    static std::vector<std::pair<TimePoint, uint64_t>> due(Written& w) { return std::exchange(w.timers, {}); }
 };
 
-// A wall-clock point at the start of a term, so that balancing and pause are where a test expects them.
-constexpr TimePoint term_start{1'000'000'000'000};
-
-inline PolicyConfig deployment(Idempotency idempotency = Idempotency::idempotent,
-                               DedupScope dedup_scope = DedupScope::all) {
-    PolicyConfig d;
-    d.request_classes = {{idempotency, dedup_scope, millis(300), seconds(2), seconds(5), millis(50)}};
-    d.max_attempts = 4;
-    d.slow_start_time = seconds(10);
-    d.advises_retry_after = true;
-    d.max_retry_after = seconds(2);
-    d.step = millis(2);
-    return d;
+/// The start of a rebalance cycle, so that its active phase and its pause are where a test expects them.
+constexpr TimePoint cycle_start{1'000'000'000'000};
+
+/// One request class and no gossip.
+inline PolicyConfig make_config(Idempotency idempotency = Idempotency::idempotent,
+                                DedupScope dedup_scope = DedupScope::all) {
+    PolicyConfig config;
+    config.request_classes = {{idempotency, dedup_scope, millis(300), seconds(2), seconds(5), millis(50)}};
+    config.max_attempts = 4;
+    config.slow_start_time = seconds(10);
+    config.advises_retry_after = true;
+    config.max_retry_after = seconds(2);
+    config.step = millis(2);
+    return config;
 }
 
-inline Endpoint listed(const ServerId& id, double weight = 1, int zone = 0, int cell = 0) {
-    return Endpoint{id, weight, EndpointState::active, zone, cell, {}};
+/// The configuration of one of many balancers. Its index is also its seed.
+inline PolicyConfig make_replica_config(uint64_t replica_index) {
+    PolicyConfig config = make_config();
+    config.replica_index = replica_index;
+    return config;
 }
 
-inline Request request(RequestId id, TimePoint now, const std::string& key = "",
-                       const std::string& group = "") {
-    Request c;
-    c.id = id;
-    c.deadline = now + seconds(2);
-    c.key = key;
-    c.group = group;
-    return c;
+inline Endpoint make_endpoint(const ServerId& id, double weight = 1, int zone = 0, int cell = 0) {
+    return Endpoint{id, weight, EndpointState::active, zone, cell, {}};
 }
 
-struct Rig {
-    Written w;
-    BalancingPolicy b;
-    Peek p{b};
-    explicit Rig(const std::vector<Endpoint>& list, const PolicyConfig& d = deployment())
-        : b(d, d.replica_index + 1, w, term_start) {
-        b.on_endpoints(term_start, EndpointUpdateKind::snapshot, list);
-    }
-};
-
-// One of many balancers: its number is also its seed.
-inline PolicyConfig numbered(uint64_t slot) {
-    PolicyConfig d = deployment();
-    d.replica_index = slot;
-    return d;
+/// Servers "A", "B", ... of weights 1, 2, 1, 2, ...
+inline std::vector<Endpoint> make_endpoints(int count) {
+    std::vector<Endpoint> endpoints;
+    for (int k = 0; k < count; ++k)
+        endpoints.push_back(make_endpoint(ServerId(1, static_cast<char>('A' + k)), 1 + k % 2));
+    return endpoints;
 }
 
-inline std::vector<Endpoint> some_servers(int n) {
-    std::vector<Endpoint> all;
-    for (int k = 0; k < n; ++k) all.push_back(listed(ServerId(1, static_cast<char>('A' + k)), 1 + k % 2));
-    return all;
+inline Request make_request(RequestId id, TimePoint now, const std::string& key = "",
+                            const std::string& group = "") {
+    Request request;
+    request.id = id;
+    request.deadline = now + seconds(2);
+    request.key = key;
+    request.group = group;
+    return request;
 }
 
-// Standing connections with ids from `first` on.
-inline void stand(BalancingPolicy& b, TimePoint now, const ServerId& server, RequestId first, int n) {
-    for (int k = 0; k < n; ++k) b.on_request_adopted(now, request(first + k, now), server);
+/// A policy that has had its endpoint list, with its recorded actions and a look into it.
+struct PolicyFixture {
+    RecordingActions actions;
+    BalancingPolicy policy;
+    PolicyInspector inspector{policy};
+    explicit PolicyFixture(const std::vector<Endpoint>& endpoints, const PolicyConfig& config = make_config())
+        : policy(config, config.replica_index + 1, actions, cycle_start) {
+        policy.on_endpoints(cycle_start, EndpointUpdateKind::snapshot, endpoints);
+    }
+};
+
+/// Lets `policy` adopt `count` established connections on `server`, with ids from `first` on.
+inline void adopt_connections(BalancingPolicy& policy, TimePoint now, const ServerId& server, RequestId first,
+                              int count) {
+    for (int k = 0; k < count; ++k) policy.on_request_adopted(now, make_request(first + k, now), server);
 }
 
 }  // namespace headrouter
--- a/tests/router/test_request_router.cpp
+++ b/tests/router/test_request_router.cpp
@@ -56,7 +56,7 @@
     Counters counters;
     std::ostringstream said;
     Log log{said, LogLevel::debug};
-    TimePoint now = term_start;
+    TimePoint now = cycle_start;
     std::vector<std::pair<TimePoint, uint64_t>> timers;
     bool room = true;
     RequestRouter router{
@@ -82,7 +82,7 @@
     void open(RequestId id, const std::string& fields = usual) {
         router.on_request_line(id, "OPEN " + id_of(id) + " 7f3a " + fields + "\r\n");
     }
-    void stand(RequestId id, const std::string& fields = usual) {
+    void establish(RequestId id, const std::string& fields = usual) {
         open(id, fields);
         router.on_attempt_established(id, "UP r\r\n");
         downstream.done.clear();
@@ -203,7 +203,7 @@
 
 TEST(RequestRouter, MigratesBetweenTwoLines) {
     RouterHarness harness;
-    harness.stand(1);
+    harness.establish(1);
     harness.router.on_server_bytes(1, std::string(4096, 'x'), false);
     harness.router.begin_graceful_shutdown(Duration{});
     harness.now = harness.now + millis(450);
@@ -218,7 +218,7 @@
 
 TEST(RequestRouter, ServerThatStopsInMidLineDoesNotKeepItsClient) {
     RouterHarness harness;
-    harness.stand(1);
+    harness.establish(1);
     harness.router.on_server_bytes(1, "half", false);
     harness.router.begin_graceful_shutdown(Duration{});
     harness.now = harness.now + millis(450);
@@ -231,16 +231,16 @@
 
 TEST(RequestRouter, SilentServerMigratesItsClient) {
     RouterHarness harness;
-    harness.stand(1);
+    harness.establish(1);
     harness.router.on_attempt_ended(1, {AttemptOutcome::reset, CloseReason::fin, true, {}});
     EXPECT_EQ(harness.downstream.done, Lines{"answer1MOVE\r\n"});
 }
 
 TEST(RequestRouter, MirrorsTheEndOfAConnection) {
     RouterHarness harness;
-    harness.stand(1);
-    harness.stand(2);
-    harness.stand(3);
+    harness.establish(1);
+    harness.establish(2);
+    harness.establish(3);
     harness.router.on_attempt_ended(1, {AttemptOutcome::reset, CloseReason::reset, false, {}});
     EXPECT_EQ(harness.downstream.done.back(), "break1");
     harness.router.on_client_closed(2, CloseReason::reset);
@@ -254,9 +254,9 @@
     for (const bool others_left : {false, true}) {
         RouterHarness harness;
         for (RequestId id = 1; id <= 20; ++id)
-            harness.stand(id, others_left ? "c=chat,t=x,d=2000,g=q,again=1" : usual);
+            harness.establish(id, others_left ? "c=chat,t=x,d=2000,g=q,again=1" : usual);
         harness.router.begin_graceful_shutdown(seconds(3));
-        harness.stand(21);
+        harness.establish(21);
         harness.router.on_tick();
         EXPECT_TRUE(harness.downstream.done.empty());
         harness.now =
@@ -293,7 +293,7 @@
 
 TEST(RequestRouter, AnswersWhatCannotBeAccepted) {
     RouterHarness harness;
-    harness.stand(7);
+    harness.establish(7);
     const std::string good = "OPEN 0123456789abcdef 7f3a ", list = "c=chat,t=x,d=5,g=q";
     std::vector<std::string> bad{"", "\r\n", "OPEN\r\n", good + list + "\n", good + list + " more\r\n"};
     for (const char* start :
@@ -333,7 +333,7 @@
 
 TEST(RequestRouter, ClientThatDoesNotReadPausesItsServer) {
     RouterHarness harness;
-    harness.stand(1);
+    harness.establish(1);
     harness.downstream.waiting = unsent_high_watermark + 1;
     harness.router.on_server_bytes(1, "x\r\n", true);
     EXPECT_EQ(harness.upstream.done.back(), "hold");
@@ -389,8 +389,8 @@
     const auto sum = [&](admin::SetupOutcome how, int type) {
         return harness.router.metrics().setups.by_class(how)[type];
     };
-    harness.stand(1);
-    harness.stand(2, "c=pay,t=x,d=2000,g=q");
+    harness.establish(1);
+    harness.establish(2, "c=pay,t=x,d=2000,g=q");
     harness.router.on_attempt_written(1);
     harness.router.on_attempt_written(2);
     harness.open(3);  // turned away by every server
