--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -47,14 +47,9 @@
     if (static_cast<int>(request.attempts.size()) >= config_.max_attempts) return Verdict::give_up;
     if (request.may_have_run < 0) return Verdict::next_stage;
     if (!retry_budget_.allows_retry(now)) return Verdict::give_up;
-    return may_run_again(now, request) ? Verdict::next_stage : Verdict::give_up;
-}
-
-bool BalancingPolicy::may_run_again(TimePoint now, const Request& request) const {
-    const RequestClass& request_class = config_.request_classes[request.type];
-    if (request_class.idempotency == Idempotency::idempotent) return true;
-    if (request_class.idempotency == Idempotency::non_idempotent) return false;
-    return now - request.attempts[request.may_have_run].sent < request_class.dedup_window;
+    const Duration since_sent = now - request.attempts[request.may_have_run].sent;
+    const bool may_run = retry_policy::allows_second_run(config_.request_classes[request.type], since_sent);
+    return may_run ? Verdict::next_stage : Verdict::give_up;
 }
 
 BalancingPolicy::Verdict BalancingPolicy::place(TimePoint now, Request& request) {
@@ -129,12 +124,9 @@
 }
 
 void BalancingPolicy::give_up(Request& request) {
-    const RequestClass& request_class = config_.request_classes[request.type];
-    const bool is_deduplicated =
-        request_class.idempotency == Idempotency::keyed && request_class.dedup_scope == DedupScope::all;
-    const bool may_reject =
-        request.may_have_run < 0 || is_deduplicated || request_class.idempotency == Idempotency::idempotent;
-    if (may_reject)
+    const bool may_have_run = request.may_have_run >= 0;
+    if (retry_policy::may_client_retry(config_.request_classes[request.type], may_have_run,
+                                       retry_policy::ClientRetryBasis::deduplication))
         actions_.reject(request.id, retry_after());
     else
         actions_.fail(request.id);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -22,6 +22,7 @@
 #include "policy/policy_config.h"
 #include "policy/rebalance_cycle.h"
 #include "policy/rendezvous_rankings.h"
+#include "policy/retry_policy.h"
 #include "policy/server_table.h"
 #include "policy/types.h"
 #include "retry/early_reset_rate.h"
@@ -116,13 +117,12 @@
     void on_place_result(TimePoint, Request&, const AttemptResult&);
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
     void on_check_retry_result(TimePoint, Request& request, const AttemptResult& result) {
-        if (!never_ran(result.outcome) && request.may_have_run < 0) request.may_have_run = result.attempt;
+        if (!retry_policy::never_ran(result.outcome) && request.may_have_run < 0)
+            request.may_have_run = result.attempt;
     }
     void on_admit_result(TimePoint, Request& request, const AttemptResult& result) {
         if (result.is_final) forget(request.id);
     }
-    /// Rule 2: no further attempt for what must not run twice.
-    bool may_run_again(TimePoint, const Request&) const;
     /// A resumed stream goes to the server that still has its connection, also while that one drains.
     bool is_parked_at_server(TimePoint, const Request&, const FailoverTable::Entry*) const;
     Duration attempt_timeout(TimePoint, const Request&);
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -2,20 +2,20 @@
 
 #include <algorithm>
 
+#include "policy/retry_policy.h"
+
 namespace headrouter {
 
-DedupScope FairShares::retry_scope(const Request& request) const {
-    const RequestClass& request_class = config_.request_classes[request.type];
-    const bool is_bound = request.may_have_run >= 0 && request_class.idempotency == Idempotency::keyed;
-    return is_bound ? request_class.dedup_scope : DedupScope::all;
+DedupScope FairShares::dedup_scope(const Request& request) const {
+    if (request.may_have_run < 0) return DedupScope::all;
+    return retry_policy::second_run_scope(config_.request_classes[request.type]);
 }
 
-bool FairShares::is_in_retry_scope(const Request& request, const ServerState& server) const {
-    const DedupScope scope = retry_scope(request);
+bool FairShares::is_in_dedup_scope(const Request& request, const ServerState& server) const {
+    const DedupScope scope = dedup_scope(request);
     if (scope == DedupScope::all) return true;
     const Endpoint& first = servers_[request.attempts[request.may_have_run].server].endpoint;
-    if (scope == DedupScope::zone) return server.endpoint.zone == first.zone;
-    return server.endpoint.cell == first.cell;
+    return retry_policy::is_in_scope(scope, first, server.endpoint);
 }
 
 FleetView FairShares::view(TimePoint now, const Request* request) {
@@ -44,7 +44,7 @@
     };
     if (fleet.excluded_server >= 0 && servers_[fleet.excluded_server].endpoint.state == EndpointState::active)
         leave_out(servers_[fleet.excluded_server]);
-    if (request && retry_scope(*request) != DedupScope::all)
+    if (request && dedup_scope(*request) != DedupScope::all)
         for (int k = 0; k < servers_.size(); ++k)
             if (servers_[k].endpoint.state == EndpointState::active && k != fleet.excluded_server &&
                 !is_in_dedup_scope(*request, servers_[k]))
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -43,9 +43,7 @@
         return fleet.share_per_weight * state.weight;
     }
     /// Whether the request may run at the server, if a first attempt of it may have run elsewhere.
-    bool is_in_dedup_scope(const Request& request, const ServerState& server) const {
-        return request.may_have_run < 0 || is_in_retry_scope(request, server);
-    }
+    bool is_in_dedup_scope(const Request&, const ServerState&) const;
 
    private:
     // Servers heard of beyond those in use, against judging by one or two.
@@ -54,9 +52,8 @@
     // two of a handful say little about the others.
     static constexpr double fewest_mostly_slow = 3, least_part_mostly_slow = 0.25;
 
-    /// Rule 2: where a keyed request may run again.
-    DedupScope retry_scope(const Request&) const;
-    bool is_in_retry_scope(const Request&, const ServerState&) const;
+    /// The servers that the request is bound to by an attempt that may have run.
+    DedupScope dedup_scope(const Request&) const;
     /// The shares of sound servers follow from sums kept up to date by event; what differs is taken off the
     /// sums.
     FleetView view_in_mode(TimePoint now, const Request* request, bool panic_mode);
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -35,12 +35,6 @@
     not_sent
 };
 
-/// Whether it is known of an attempt that ended so that the request never ran at its server.
-constexpr bool never_ran(AttemptOutcome outcome) {
-    return outcome == AttemptOutcome::at_capacity || outcome == AttemptOutcome::connect_failed ||
-           outcome == AttemptOutcome::not_sent;
-}
-
 /// What differs by class of request, as far as the policy reads it.
 struct RequestClass {
     Idempotency idempotency = Idempotency::idempotent;
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "downstream/reply_lines.h"
+#include "policy/retry_policy.h"
 #include "transport/line_text.h"
 
 namespace headrouter {
@@ -157,7 +158,7 @@
     if (!request) return counters_.add(Counter::late_events);
     const bool policy_knows = request->is_established || !request->is_adopted;
     const bool awaits_reply = !request->is_established;
-    const std::string_view reply = is_safe_to_retry(*request) ? busy_reply : error_reply;
+    const std::string_view reply = may_client_retry(*request) ? busy_reply : error_reply;
     active_requests_.remove(id);
     counters_.add(Counter::requests_left_by_client);
     log_.debug("request_left", {{"request", id},
@@ -170,10 +171,10 @@
     actions_.perform_all();
 }
 
-// Whether asking again cannot make the request run twice against its class.
-bool RequestRouter::is_safe_to_retry(const ActiveRequest& request) const {
-    const RequestClass& request_class = config_.policy.request_classes[request.request_line.request.type];
-    return request_class.idempotency == Idempotency::idempotent || !request.may_have_run;
+bool RequestRouter::may_client_retry(const ActiveRequest& request) const {
+    return retry_policy::may_client_retry(config_.policy.request_classes[request.request_line.request.type],
+                                          request.may_have_run,
+                                          retry_policy::ClientRetryBasis::execution_only);
 }
 
 void RequestRouter::on_early_client_data(RequestId id) {
@@ -401,13 +402,12 @@
         end_unestablished(id, now);
 }
 
-// What may have run must not be asked for again.
 void RequestRouter::end_unestablished(RequestId id, TimePoint now) {
     upstream_.close(id, CloseReason::fin);
     const ActiveRequest& request = *active_requests_.find(id);
-    const bool safe_to_retry = is_safe_to_retry(request);
+    const bool may_retry = may_client_retry(request);
     if (!request.is_adopted) policy_.on_client_gone(now, id);
-    if (safe_to_retry)
+    if (may_retry)
         completion_.reject(id, busy_reply);
     else
         completion_.fail(id);
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -115,7 +115,8 @@
     bool admit(RequestId, const RequestLine&, TimePoint now);
     void accept(RequestId, RequestLine, TimePoint now);
     void adopt(RequestId, RequestLine, TimePoint now);
-    bool is_safe_to_retry(const ActiveRequest&) const;
+    /// Whether a request that the policy has not answered may be rejected, see retry_policy.
+    bool may_client_retry(const ActiveRequest&) const;
 
     void log_attempt_ended(RequestId, const ActiveRequest&, const AttemptResult&, Duration duration);
     void close_after_last_attempt(RequestId, const ActiveRequest&, const AttemptResult&);
