--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "policy/retry_after.h"
 #include "policy/timers.h"
 
 namespace headrouter {
@@ -127,17 +128,12 @@
     const bool may_have_run = request.may_have_run >= 0;
     if (retry_policy::may_client_retry(config_.request_classes[request.type], may_have_run,
                                        retry_policy::ClientRetryBasis::deduplication))
-        actions_.reject(request.id, retry_after());
+        actions_.reject(request.id, random_retry_after(config_, random_));
     else
         actions_.fail(request.id);
     forget(request.id);
 }
 
-Duration BalancingPolicy::retry_after() {
-    if (!config_.advises_retry_after) return Duration{};
-    return config_.max_retry_after * (least_retry_after + (1 - least_retry_after) * random_.uniform());
-}
-
 void BalancingPolicy::queue(TimePoint now, Request& request) {
     if (request.deadline - now <= queue_interval + config_.step * 2) return give_up(request);
     if (!request.queued) queued_.push_back(request.id);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -84,8 +84,6 @@
     // The time-out of an attempt while another could follow: a part of the setup objective, but not more
     // than a part of the time that is left.
     static constexpr double timeout_of_objective = 0.6, timeout_of_time_left = 0.5;
-    // Retry-after is drawn between a part of the longest and the longest.
-    static constexpr double least_retry_after = 0.3;
     // The surplus of a slow server is migrated off within this time.
     static constexpr Duration slow_server_drain = seconds(0.8);
 
@@ -128,7 +126,6 @@
     Duration attempt_timeout(TimePoint, const Request&);
     /// The answer comes at once when nothing more is tried: a reject where the rules let it, else a failure.
     void give_up(Request&);
-    Duration retry_after();
     /// Queued only as long as the next look at it still comes before its deadline.
     void queue(TimePoint, Request&);
     void retry_queued(TimePoint);
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "downstream/reply_lines.h"
+#include "policy/retry_after.h"
 #include "policy/retry_policy.h"
 #include "transport/line_text.h"
 
@@ -20,10 +21,6 @@
 // How long a migration waits for the end of the line that the server has begun.
 constexpr Duration max_migration_wait = seconds(0.5);
 
-// Retry-after of a process that is short of resources, as a part of the longest one: requests end all the
-// time and leave room.
-constexpr double shortage_retry_part = 0.2;
-
 constexpr int64_t ns_per_ms = 1'000'000;
 
 Counter counter_of(AttemptOutcome outcome) {
@@ -105,7 +102,7 @@
             counters_.add(*refusal);
             log_.debug("request_refused", {{"request", id}, {"reason", printed_name(*refusal)}});
             setup_counters_.add(admin::SetupOutcome::declined, request_class);
-            downstream_.reply(id, busy_reply_after(config_.policy.max_retry_after * shortage_retry_part));
+            downstream_.reply(id, busy_reply_after(shortage_retry_after(config_.policy)));
             return false;
         }
     }
