--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -9,7 +9,7 @@
 namespace headrouter {
 
 const std::array<BalancingPolicy::Stage, 4> BalancingPolicy::pipeline_{
-    {{&BalancingPolicy::admit, &BalancingPolicy::on_admit_result},
+    {{&BalancingPolicy::check_deadline, &BalancingPolicy::on_check_deadline_result},
      {&BalancingPolicy::check_retry, &BalancingPolicy::on_check_retry_result},
      {&BalancingPolicy::place, &BalancingPolicy::on_place_result},
      {&BalancingPolicy::dispatch, &BalancingPolicy::on_dispatch_result}}};
@@ -40,7 +40,7 @@
 }
 
 // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-BalancingPolicy::Verdict BalancingPolicy::admit(TimePoint now, Request& request) {
+BalancingPolicy::Verdict BalancingPolicy::check_deadline(TimePoint now, Request& request) {
     return now < request.deadline ? Verdict::next_stage : Verdict::give_up;
 }
 
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -1,4 +1,4 @@
-// The policy: every decision of one balancer. The ordinary path of a request is the pipeline admit,
+// The policy: every decision of one balancer. The ordinary path of a request is the pipeline check_deadline,
 // check_retry, place, dispatch. The result of an attempt goes the other way, and if the client still waits
 // for an answer the request starts through the pipeline again. docs/design.md says which lines follow the
 // design, which extend it, and when each extension acts.
@@ -102,7 +102,7 @@
     static const std::array<Stage, 4> pipeline_;
 
     void run_pipeline(TimePoint, Request&);
-    Verdict admit(TimePoint, Request&);
+    Verdict check_deadline(TimePoint, Request&);
     Verdict check_retry(TimePoint, Request&);
     Verdict place(TimePoint, Request&);
     Verdict dispatch(TimePoint, Request&);
@@ -118,7 +118,7 @@
         if (!retry_policy::never_ran(result.outcome) && request.may_have_run < 0)
             request.may_have_run = result.attempt;
     }
-    void on_admit_result(TimePoint, Request& request, const AttemptResult& result) {
+    void on_check_deadline_result(TimePoint, Request& request, const AttemptResult& result) {
         if (result.is_final) forget(request.id);
     }
     /// A resumed stream goes to the server that still has its connection, also while that one drains.
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -1,10 +1,10 @@
 #include "router/request_router.h"
 
 #include <algorithm>
+#include <functional>
 #include <utility>
 
 #include "downstream/reply_lines.h"
-#include "policy/retry_after.h"
 #include "policy/retry_policy.h"
 #include "transport/line_text.h"
 
@@ -62,6 +62,7 @@
       setup_counters_(config_.request_class_names.size()),
       adopter_(endpoints_, upstream_, environment_.now()),
       completion_(active_requests_, downstream_, upstream_, setup_counters_, counters_, log_),
+      admission_(environment_, shutdown_, config_.policy),
       actions_(*this, environment_.set_timer),
       policy_(config_.policy, seed, actions_, environment_.now()) {}
 
@@ -76,8 +77,12 @@
         return refuse_malformed(id, line, RequestLineError::id_in_use);
     }
     const TimePoint now = environment_.now();
-    if (!admit(id, *parsed, now)) return;
-    if (parsed->established_at.empty())
+    const bool is_new = parsed->established_at.empty();
+    const auto origin = is_new ? AdmissionControl::RequestOrigin::new_request
+                               : AdmissionControl::RequestOrigin::established_before;
+    if (const std::optional<AdmissionRejection> rejection = admission_.check(origin, now))
+        return reject(id, *parsed, *rejection);
+    if (is_new)
         accept(id, std::move(*parsed), now);
     else
         adopt(id, std::move(*parsed), now);
@@ -90,28 +95,12 @@
     downstream_.reply(id, error_reply);
 }
 
-// Whether there is a place for the request; otherwise its client has been answered.
-bool RequestRouter::admit(RequestId id, const RequestLine& request_line, TimePoint now) {
-    const int request_class = request_line.request.type;
-    if (request_line.established_at.empty()) {
-        // Another balancer may have newer endpoints, and asking again is harmless.
-        const std::optional<Counter> refusal = environment_.is_endpoint_list_outdated()
-                                                   ? std::optional(Counter::refused_for_outdated_list)
-                                                   : environment_.find_shortage();
-        if (refusal) {
-            counters_.add(*refusal);
-            log_.debug("request_refused", {{"request", id}, {"reason", printed_name(*refusal)}});
-            setup_counters_.add(admin::SetupOutcome::declined, request_class);
-            downstream_.reply(id, busy_reply_after(shortage_retry_after(config_.policy)));
-            return false;
-        }
-    }
-    if (!shutdown_.is_draining(now)) return true;
-    counters_.add(Counter::requests_rejected);
-    log_.debug("request_refused", {{"request", id}, {"reason", "shutting_down"}});
-    setup_counters_.add(admin::SetupOutcome::declined, request_class);
-    downstream_.reply(id, busy_reply);
-    return false;
+void RequestRouter::reject(RequestId id, const RequestLine& request_line,
+                           const AdmissionRejection& rejection) {
+    counters_.add(rejection.counter);
+    log_.debug("request_refused", {{"request", id}, {"reason", rejection.reason}});
+    setup_counters_.add(admin::SetupOutcome::declined, request_line.request.type);
+    downstream_.reply(id, busy_reply_after(rejection.retry_after));
 }
 
 void RequestRouter::accept(RequestId id, RequestLine request_line, TimePoint now) {
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -1,7 +1,5 @@
 /// Where the connections of clients and those to servers meet.
 #pragma once
-#include <functional>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -15,30 +13,17 @@
 #include "downstream/downstream_interface.h"
 #include "downstream/request_line.h"
 #include "router/active_requests.h"
+#include "router/admission_control.h"
 #include "router/gossip_interface.h"
 #include "router/policy_action_queue.h"
 #include "router/request_adopter.h"
 #include "router/request_completion.h"
+#include "router/router_environment.h"
 #include "router/shutdown_schedule.h"
 #include "upstream/upstream_interface.h"
 
 namespace headrouter {
 
-/// What the router needs of the process around it.
-struct RouterEnvironment {
-    std::function<TimePoint()> now;
-
-    /// Has `RequestRouter::on_timer(token)` called at that time.
-    std::function<void(TimePoint, uint64_t token)> set_timer;
-
-    /// Makes room for one request more. Where there is none, the counter of what the process is short of.
-    std::function<std::optional<Counter>()> find_shortage;
-
-    /// Whether other balancers may know newer endpoints for so long already that these must not be used any
-    /// more.
-    std::function<bool()> is_endpoint_list_outdated = [] { return false; };
-};
-
 /// Tells the balancing policy what happens and carries out what it decides. The router itself decides
 /// nothing; it adds what sockets need: an answer in any case before the client gives up, the end of one
 /// connection handed on to the other one, a last look at the endpoint list before a byte goes out. It runs on
@@ -112,7 +97,7 @@
     };
 
     void refuse_malformed(RequestId, std::string_view line, RequestLineError);
-    bool admit(RequestId, const RequestLine&, TimePoint now);
+    void reject(RequestId, const RequestLine&, const AdmissionRejection&);
     void accept(RequestId, RequestLine, TimePoint now);
     void adopt(RequestId, RequestLine, TimePoint now);
     /// Whether a request that the policy has not answered may be rejected, see retry_policy.
@@ -143,6 +128,7 @@
     RequestAdopter adopter_;
     RequestCompletion completion_;
     ShutdownSchedule shutdown_;
+    AdmissionControl admission_;
     SlidingWindow<5> recent_reconnects_{
         seconds(1)};  // requests whose connections had broken or been migrated
     PolicyActionQueue actions_;
