--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -111,6 +111,19 @@
     if (has) visit(a, *o);
 }
 
+/// A value that the bytes hold as a plain number, any negative one for none.
+template <class A, class T>
+void visit_negative_for_none(A& a, std::optional<T>& value) {
+    T number = value.value_or(T{-1});
+    visit(a, number);
+    if constexpr (!A::writes) {
+        if (number >= T{0})
+            value = number;
+        else
+            value.reset();
+    }
+}
+
 template <class A, class T, class U>
 void visit(A& a, std::pair<T, U>& p) {
     visit(a, p.first);
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -107,10 +107,10 @@
     visit(a, c.hinted_load);
     visit(a, c.deadline);
     visit(a, c.attempts);
-    visit(a, c.may_have_run);
-    visit(a, c.chosen_server);
-    visit(a, c.connection_index);
-    visit(a, c.load);
+    visit_negative_for_none(a, c.may_have_run);
+    visit_negative_for_none(a, c.chosen_server);
+    visit_negative_for_none(a, c.connection_index);
+    visit_negative_for_none(a, c.load);
     visit(a, c.is_protected);
     visit(a, c.queued);
     visit(a, c.migrated);
--- a/src/hot_restart/transfer_state.cpp
+++ b/src/hot_restart/transfer_state.cpp
@@ -176,8 +176,9 @@
     static void visit_flow(A& a, ActiveRequest& f) {
         capture::visit(a, f.request_line), capture::visit(a, f.server),
             capture::visit(a, f.attempt_started_at);
-        capture::visit(a, f.adoption_retry_at), capture::visit(a, f.attempt),
-            capture::visit(a, f.attempt_running);
+        capture::visit(a, f.adoption_retry_at);
+        capture::visit_negative_for_none(a, f.attempt);
+        capture::visit(a, f.attempt_running);
         capture::visit(a, f.is_established), capture::visit(a, f.is_adopted),
             capture::visit(a, f.in_mid_line);
         capture::visit(a, f.migration_pending), capture::visit(a, f.migration_requested_at);
--- a/src/load/connection_load.h
+++ b/src/load/connection_load.h
@@ -1,7 +1,7 @@
 // The load of a set of connections, as far as it is reported. Plain sums; nothing is decided.
 #pragma once
-#include <algorithm>
 #include <cstddef>
+#include <optional>
 #include <vector>
 
 #include "load/request_class_loads.h"
@@ -9,30 +9,31 @@
 namespace headrouter {
 
 /// Connections established or pending. Each counts by its reported load, else by what its request class was
-/// seen to need. Loads in microseconds a second; a negative one is not reported.
+/// seen to need. Loads in microseconds a second;
+/// nothing where none is reported.
 struct ConnectionLoad {
     std::vector<double> unreported;  ///< for each request class, connections whose load is not reported
     double reported = 0;             ///< of all others
 
     /// A connection of the class, one of so many classes, with that load.
-    void add(size_t request_class, double load, size_t classes) {
+    void add(size_t request_class, std::optional<double> load, size_t classes) {
         unreported.resize(classes);
-        if (load >= 0)
-            reported += load;
+        if (load)
+            reported += *load;
         else
             unreported[request_class] += 1;
     }
     /// Takes one away that was added with the same load, or that has reported it since.
-    void remove(size_t request_class, double load) {
-        if (load >= 0)
-            reported -= load;
+    void remove(size_t request_class, std::optional<double> load) {
+        if (load)
+            reported -= *load;
         else
             unreported[request_class] -= 1;
     }
     /// A connection that had the load `before` reports `load`.
-    void report(size_t request_class, double before, double load) {
-        if (before < 0) unreported[request_class] -= 1;
-        reported += load - std::max(0.0, before);
+    void report(size_t request_class, std::optional<double> before, double load) {
+        if (!before) unreported[request_class] -= 1;
+        reported += load - before.value_or(0);
     }
     /// In mean load units.
     double in_units(const RequestClassLoads& loads) const {
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -46,9 +46,9 @@
 
 BalancingPolicy::Verdict BalancingPolicy::check_retry(TimePoint now, Request& request) {
     if (static_cast<int>(request.attempts.size()) >= config_.max_attempts) return Verdict::give_up;
-    if (request.may_have_run < 0) return Verdict::next_stage;
+    if (!request.may_have_run) return Verdict::next_stage;
     if (!retry_budget_.allows_retry(now)) return Verdict::give_up;
-    const Duration since_sent = now - request.attempts[request.may_have_run].sent;
+    const Duration since_sent = now - request.attempts[*request.may_have_run].sent;
     const bool may_run = retry_policy::allows_second_run(config_.request_classes[request.type], since_sent);
     return may_run ? Verdict::next_stage : Verdict::give_up;
 }
@@ -65,16 +65,19 @@
     const bool is_back_in_pause = failover && !failover->is_parked && cycle_clock::is_paused(now);
     const int failed_server = is_back_in_pause ? failover->server : -1;
     const PlacementContext context{now, request, fleet, load, failed_server, gossip_.trust(now)};
-    request.chosen_server = placement_.choose_cold(context);
-    if (request.chosen_server >= 0) return Verdict::next_stage;
+    if (const int cold = placement_.choose_cold(context); cold >= 0) {
+        request.chosen_server = cold;
+        return Verdict::next_stage;
+    }
     // Departure 15: with fewer connections than servers, this balancer does not see which of them hold.
     const bool is_blind = fleet.total_load < servers_.active_count();
     if (is_blind && request.is_reconnect && random_.uniform() < early_resets_.rate(now))
         return Verdict::give_up;
-    request.chosen_server = placement_.choose(context);
-    if (request.chosen_server < 0) return Verdict::give_up;
-    const double load_then = servers_.load_on(servers_[request.chosen_server]) + load;
-    const double share = shares_.share(fleet, request.chosen_server);
+    const int server = placement_.choose(context);
+    if (server < 0) return Verdict::give_up;
+    request.chosen_server = server;
+    const double load_then = servers_.load_on(servers_[server]) + load;
+    const double share = shares_.share(fleet, server);
     request.is_protected = is_back_in_pause && load_then > share * RebalanceCycle::saturation_band;
     return Verdict::next_stage;
 }
@@ -87,14 +90,15 @@
 }
 
 BalancingPolicy::Verdict BalancingPolicy::dispatch(TimePoint now, Request& request) {
-    if (request.may_have_run >= 0) retry_budget_.on_retry(now);
+    if (request.may_have_run) retry_budget_.on_retry(now);
     const Duration timeout = attempt_timeout(now, request);
-    ServerState& server = servers_[request.chosen_server];
-    request.attempts.push_back(Attempt{request.chosen_server, now, true, false});
+    const int chosen = *request.chosen_server;
+    ServerState& server = servers_[chosen];
+    request.attempts.push_back(Attempt{chosen, now, true, false});
     ++server.pending_attempts;
     server.outliers.count_sent();
     if (servers_.is_cold(now, server)) server.slow_start.use_permit();
-    add_connection(request.chosen_server, request);
+    add_connection(chosen, request);
     actions_.start_attempt(request.id, server.endpoint.server, timeout);
     return Verdict::next_stage;
 }
@@ -125,8 +129,8 @@
 }
 
 void BalancingPolicy::give_up(Request& request) {
-    const bool may_have_run = request.may_have_run >= 0;
-    if (retry_policy::may_client_retry(config_.request_classes[request.type], may_have_run,
+    if (retry_policy::may_client_retry(config_.request_classes[request.type],
+                                       request.may_have_run.has_value(),
                                        retry_policy::ClientRetryBasis::deduplication))
         actions_.reject(request.id, random_retry_after(config_, random_));
     else
@@ -193,7 +197,7 @@
     Attempt& attempt = request->attempts[number];
     attempt.pending = false;
     attempt.established = true;
-    if (request->may_have_run < 0) request->may_have_run = number;
+    if (!request->may_have_run) request->may_have_run = number;
     early_resets_.on_established(now);
     servers_.record_established(now, attempt.server);
     gossip_.on_group_placed(now, request->group, attempt.server);
@@ -216,7 +220,7 @@
 
 void BalancingPolicy::on_load_report(TimePoint, RequestId id, double micros) {
     const auto it = requests_.find(id);
-    if (it == requests_.end() || it->second.connection_index < 0 || !(micros >= 0)) return;
+    if (it == requests_.end() || !it->second.connection_index || !(micros >= 0)) return;
     servers_.record_load(it->second, micros);
 }
 
@@ -230,8 +234,8 @@
 }
 
 void BalancingPolicy::remove_connection(Request& request) {
-    const int index = request.connection_index;
-    if (index < 0) return;
+    const std::optional<int> index = request.connection_index;
+    if (!index) return;
     const std::optional<RequestId> replacement = servers_.remove_connection(request);
     if (replacement) requests_.at(*replacement).connection_index = index;
     if (!request.group.empty()) groups_.remove(request.group, request.attempts.back().server);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -115,7 +115,7 @@
     void on_place_result(TimePoint, Request&, const AttemptResult&);
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
     void on_check_retry_result(TimePoint, Request& request, const AttemptResult& result) {
-        if (!retry_policy::never_ran(result.outcome) && request.may_have_run < 0)
+        if (!retry_policy::never_ran(result.outcome) && !request.may_have_run)
             request.may_have_run = result.attempt;
     }
     void on_check_deadline_result(TimePoint, Request& request, const AttemptResult& result) {
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -7,14 +7,14 @@
 namespace headrouter {
 
 DedupScope FairShares::dedup_scope(const Request& request) const {
-    if (request.may_have_run < 0) return DedupScope::all;
+    if (!request.may_have_run) return DedupScope::all;
     return retry_policy::second_run_scope(config_.request_classes[request.type]);
 }
 
 bool FairShares::is_in_dedup_scope(const Request& request, const ServerState& server) const {
     const DedupScope scope = dedup_scope(request);
     if (scope == DedupScope::all) return true;
-    const Endpoint& first = servers_[request.attempts[request.may_have_run].server].endpoint;
+    const Endpoint& first = servers_[request.attempts[*request.may_have_run].server].endpoint;
     return retry_policy::is_in_scope(scope, first, server.endpoint);
 }
 
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -85,10 +85,10 @@
 std::optional<RequestId> ServerTable::remove_connection(Request& request) {
     ServerState& state = (*this)[request.attempts.back().server];
     const RequestId last = state.connections.back();
-    state.connections[request.connection_index] = last;
+    state.connections[*request.connection_index] = last;
     state.connections.pop_back();
     servers_in_use_ -= state.connections.empty();
-    request.connection_index = -1;
+    request.connection_index.reset();
     for (ConnectionLoad* load : {&state.load, &total_}) load->remove(request.type, request.load);
     if (request.is_protected) --state.protected_connections;
     if (last == request.id) return std::nullopt;
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -76,7 +76,7 @@
     void learn_hinted_load(Request& request) {
         if (!request.hinted_load) return;
         request.load = static_cast<double>(request.hinted_load->ns) / 1000;
-        loads_.add_report(request.type, request.load);
+        loads_.add_report(request.type, *request.load);
     }
     /// A connection's load was reported, in microseconds a second.
     void record_load(Request&, double micros);
@@ -88,7 +88,7 @@
     /// Counts do not mirror load where classes differ in it: a connection counts by its reported load, else
     /// by what its class was seen to need.
     double load_of(const Request& request) const {
-        return request.load >= 0 ? request.load / loads_.mean_unit() : loads_.relative_load(request.type);
+        return request.load ? *request.load / loads_.mean_unit() : loads_.relative_load(request.type);
     }
     double load_on(const ServerState& server) const { return server.load.in_units(loads_); }
     double total_load() const { return total_.in_units(loads_); }
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -69,11 +69,11 @@
 
     TimePoint deadline;
     std::vector<Attempt> attempts;
-    int may_have_run = -1;      ///< the first attempt of which it is not known that it never ran
-    int chosen_server = -1;     ///< where the pipeline has placed the next attempt
-    int connection_index = -1;  ///< among its server's connections; negative while it is none of them
-    double load = -1;           ///< reported load in microseconds a second; negative until reported
-    bool is_protected = false;  ///< recently failed over, and so not migrated again
+    std::optional<int> may_have_run;      ///< the first attempt of which it is not known that it never ran
+    std::optional<int> chosen_server;     ///< where the pipeline has placed the latest attempt
+    std::optional<int> connection_index;  ///< among its server's connections, while it is one of them
+    std::optional<double> load;           ///< as reported, in microseconds a second
+    bool is_protected = false;            ///< recently failed over, and so not migrated again
     bool queued = false, migrated = false;
 };
 
--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <algorithm>
 #include <cstddef>
+#include <optional>
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
@@ -18,7 +19,7 @@
     RequestLine request_line;
     ServerId server;               ///< of the latest attempt
     TimePoint attempt_started_at;  ///< of the latest attempt
-    int attempt = -1;              ///< number of the latest attempt, counted from 0; -1 before the first
+    std::optional<int> attempt;    ///< number of the latest attempt, counted from 0
 
     /// Adopted: when its server is connected to again; zero where an attempt runs.
     TimePoint adoption_retry_at;
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -197,7 +197,7 @@
 
 void RequestRouter::on_attempt_established(RequestId id, std::string_view line) {
     ActiveRequest* request = active_requests_.find(id);
-    if (!request) return counters_.add(Counter::late_events);
+    if (!request || !request->attempt) return counters_.add(Counter::late_events);
     request->is_established = true;
     log_.debug("request_established", {{"request", id}, {"server", request->server}});
     counters_.add(request->is_adopted ? Counter::requests_adopted : Counter::requests_established);
@@ -207,7 +207,7 @@
     if (request->is_adopted)
         policy_.on_request_adopted(now, request->request_line.request, request->server);
     else
-        policy_.on_attempt_established(now, id, request->attempt, now - request->attempt_started_at);
+        policy_.on_attempt_established(now, id, *request->attempt, now - request->attempt_started_at);
     actions_.perform_all();
     downstream_.start(id);
 }
@@ -239,7 +239,7 @@
 
 void RequestRouter::on_attempt_ended(RequestId id, const AttemptResult& result) {
     ActiveRequest* request = active_requests_.find(id);
-    if (!request) return counters_.add(Counter::late_events);
+    if (!request || !request->attempt) return counters_.add(Counter::late_events);
     const TimePoint now = environment_.now();
     const Duration duration = now - request->attempt_started_at;
     request->attempt_running = false;
@@ -251,7 +251,7 @@
 
     const bool completed = result.outcome == AttemptOutcome::completed;
     const bool is_last = request->is_established || completed;
-    const int attempt = request->attempt;
+    const int attempt = *request->attempt;
     if (completed)
         counters_.add(Counter::requests_completed);
     else
@@ -265,7 +265,7 @@
                                       Duration duration) {
     log_.debug("attempt_ended", {{"request", id},
                                  {"server", request.server},
-                                 {"attempt", request.attempt},
+                                 {"attempt", *request.attempt},
                                  {"adopted", request.is_adopted},
                                  {"established", request.is_established},
                                  {"outcome", name_of(result.outcome)},
@@ -417,7 +417,7 @@
     if (!request || request->is_established) return counters_.add(Counter::late_events);
     const TimePoint now = environment_.now();
     counters_.must_hold(!request->attempt_running);
-    ++request->attempt;
+    request->attempt = request->attempt ? *request->attempt + 1 : 0;
     request->server = action.server;
     request->attempt_started_at = now;
     request->attempt_running = true;
