--- a/src/capture/explain.cpp
+++ b/src/capture/explain.cpp
@@ -14,7 +14,7 @@
 
 // On a copy: a look forgets servers that are usual again, and the one that plays on must not be the one
 // looked at.
-std::string StateAccess::fleet_in_words(BalancingPolicy& live, TimePoint now, const Request& request) {
+std::string StateAccess::fleet_in_words(BalancingPolicy& live, TimePoint now, const RequestState& request) {
     capture::ActionRecorder nobody;
     PolicyConfig any;
     any.request_classes.resize(1);
@@ -86,12 +86,12 @@
     if (StateAccess::holds(policy, request_id))
         return describe_fleet(policy, event.at, StateAccess::request(policy, request_id));
     const bool is_new = event.request.id == request_id;
-    return is_new ? describe_fleet(policy, event.at, event.request) : "";
+    return is_new ? describe_fleet(policy, event.at, RequestState(event.request)) : "";
 }
 
 }  // namespace
 
-std::string describe_fleet(BalancingPolicy& policy, TimePoint now, const Request& request) {
+std::string describe_fleet(BalancingPolicy& policy, TimePoint now, const RequestState& request) {
     return StateAccess::fleet_in_words(policy, now, request);
 }
 
--- a/src/capture/explain.h
+++ b/src/capture/explain.h
@@ -10,7 +10,7 @@
 
 /// A table, a row for each server as `request` would find it at `now`: load, share, load limit, whether it
 /// may take the request, and why not.
-[[nodiscard]] std::string describe_fleet(BalancingPolicy& policy, TimePoint now, const Request& request);
+[[nodiscard]] std::string describe_fleet(BalancingPolicy& policy, TimePoint now, const RequestState& request);
 
 /// What a capture tells of one request.
 struct Explanation {
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -22,8 +22,8 @@
     static void visit_server(A&, ServerState&);
 
     static bool holds(const BalancingPolicy& b, RequestId id) { return b.requests_.contains(id); }
-    static const Request& request(const BalancingPolicy& b, RequestId id) { return b.requests_.at(id); }
-    static std::string fleet_in_words(BalancingPolicy&, TimePoint, const Request&);           // explain.cpp
+    static const RequestState& request(const BalancingPolicy& b, RequestId id) { return b.requests_.at(id); }
+    static std::string fleet_in_words(BalancingPolicy&, TimePoint, const RequestState&);      // explain.cpp
     static void hide_names(BalancingPolicy&, const std::function<void(std::string&)>& hide);  // edit.cpp
 };
 
@@ -95,25 +95,35 @@
     visit(a, l.established);
 }
 
+// A request as asked for and the policy's record of it, in the order that captures hold.
 template <class A>
-void visit(A& a, Request& c) {
-    visit(a, c.id);
-    visit(a, c.type);
-    visit(a, c.tenant);
-    visit(a, c.is_reconnect);
-    visit(a, c.mid_stream);
-    visit(a, c.key);
-    visit(a, c.group);
-    visit(a, c.hinted_load);
-    visit(a, c.deadline);
-    visit(a, c.attempts);
-    visit_negative_for_none(a, c.may_have_run);
-    visit_negative_for_none(a, c.chosen_server);
-    visit_negative_for_none(a, c.connection_index);
-    visit_negative_for_none(a, c.load);
-    visit(a, c.is_protected);
-    visit(a, c.queued);
-    visit(a, c.migrated);
+void visit(A& a, RequestState& request) {
+    visit(a, request.id);
+    visit(a, request.type);
+    visit(a, request.tenant);
+    visit(a, request.is_reconnect);
+    visit(a, request.mid_stream);
+    visit(a, request.key);
+    visit(a, request.group);
+    visit(a, request.hinted_load);
+    visit(a, request.deadline);
+    visit(a, request.attempts);
+    visit_negative_for_none(a, request.may_have_run);
+    visit_negative_for_none(a, request.chosen_server);
+    visit_negative_for_none(a, request.connection_index);
+    visit_negative_for_none(a, request.load);
+    visit(a, request.is_protected);
+    visit(a, request.queued);
+    bool unused = false;  // a field of earlier versions
+    visit(a, unused);
+}
+
+// An event's request has the same form, with a record that is still empty.
+template <class A>
+void visit(A& a, Request& request) {
+    RequestState state(request);
+    visit(a, state);
+    if constexpr (!A::writes) request = std::move(state);
 }
 
 template <class A>
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -31,7 +31,7 @@
     message_objective_ = config_.shortest_message_objective();
 }
 
-void BalancingPolicy::run_pipeline(TimePoint now, Request& request) {
+void BalancingPolicy::run_pipeline(TimePoint now, RequestState& request) {
     for (const Stage& stage : pipeline_) {
         const Verdict verdict = (this->*stage.on_request)(now, request);
         if (verdict == Verdict::give_up) return give_up(request);
@@ -40,11 +40,11 @@
 }
 
 // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-BalancingPolicy::Verdict BalancingPolicy::check_deadline(TimePoint now, Request& request) {
+BalancingPolicy::Verdict BalancingPolicy::check_deadline(TimePoint now, RequestState& request) {
     return now < request.deadline ? Verdict::next_stage : Verdict::give_up;
 }
 
-BalancingPolicy::Verdict BalancingPolicy::check_retry(TimePoint now, Request& request) {
+BalancingPolicy::Verdict BalancingPolicy::check_retry(TimePoint now, RequestState& request) {
     if (static_cast<int>(request.attempts.size()) >= config_.max_attempts) return Verdict::give_up;
     if (!request.may_have_run) return Verdict::next_stage;
     if (!retry_budget_.allows_retry(now)) return Verdict::give_up;
@@ -53,7 +53,7 @@
     return may_run ? Verdict::next_stage : Verdict::give_up;
 }
 
-BalancingPolicy::Verdict BalancingPolicy::place(TimePoint now, Request& request) {
+BalancingPolicy::Verdict BalancingPolicy::place(TimePoint now, RequestState& request) {
     const FailoverTable::Entry* failover = request.key.empty() ? nullptr : failovers_.find(now, request.key);
     if (is_parked_at_server(now, request, failover)) {
         request.chosen_server = failover->server;
@@ -82,14 +82,14 @@
     return Verdict::next_stage;
 }
 
-bool BalancingPolicy::is_parked_at_server(TimePoint now, const Request& request,
+bool BalancingPolicy::is_parked_at_server(TimePoint now, const RequestState& request,
                                           const FailoverTable::Entry* failover) const {
     if (!request.mid_stream || !request.attempts.empty()) return false;
     if (!failover || !failover->is_parked || now - failover->at >= config_.park) return false;
     return servers_[failover->server].endpoint.state != EndpointState::removed;
 }
 
-BalancingPolicy::Verdict BalancingPolicy::dispatch(TimePoint now, Request& request) {
+BalancingPolicy::Verdict BalancingPolicy::dispatch(TimePoint now, RequestState& request) {
     if (request.may_have_run) retry_budget_.on_retry(now);
     const Duration timeout = attempt_timeout(now, request);
     const int chosen = *request.chosen_server;
@@ -103,7 +103,7 @@
     return Verdict::next_stage;
 }
 
-Duration BalancingPolicy::attempt_timeout(TimePoint now, const Request& request) {
+Duration BalancingPolicy::attempt_timeout(TimePoint now, const RequestState& request) {
     const Duration left = request.deadline - now;
     const int attempts = static_cast<int>(request.attempts.size()) + 1;
     const bool is_last = attempts >= config_.max_attempts || !retry_budget_.allows_retry(now);
@@ -112,7 +112,7 @@
     return std::min(objective * timeout_of_objective, left * timeout_of_time_left);
 }
 
-void BalancingPolicy::on_place_result(TimePoint now, Request& request, const AttemptResult& result) {
+void BalancingPolicy::on_place_result(TimePoint now, RequestState& request, const AttemptResult& result) {
     const Attempt& attempt = request.attempts[result.attempt];
     const AttemptOutcome outcome = result.outcome;
     if (result.was_established && outcome == AttemptOutcome::cancelled && config_.passthrough)
@@ -128,7 +128,7 @@
     failovers_.record(now, request.key, attempt.server, false);
 }
 
-void BalancingPolicy::give_up(Request& request) {
+void BalancingPolicy::give_up(RequestState& request) {
     if (retry_policy::may_client_retry(config_.request_classes[request.type],
                                        request.may_have_run.has_value(),
                                        retry_policy::ClientRetryBasis::deduplication))
@@ -138,7 +138,7 @@
     forget(request.id);
 }
 
-void BalancingPolicy::queue(TimePoint now, Request& request) {
+void BalancingPolicy::queue(TimePoint now, RequestState& request) {
     if (request.deadline - now <= queue_interval + config_.step * 2) return give_up(request);
     if (!request.queued) queued_.push_back(request.id);
     request.queued = true;
@@ -161,18 +161,22 @@
 void BalancingPolicy::on_request(TimePoint now, Request request) {
     retry_budget_.on_request(now);
     if (!request.is_reconnect) gossip_.earn_credit();
-    servers_.learn_hinted_load(request);
-    Request& kept = requests_[request.id];
-    kept = std::move(request);
+    RequestState& kept = keep(std::move(request));
     run_pipeline(now, kept);
 }
 
+RequestState& BalancingPolicy::keep(Request request) {
+    const RequestId id = request.id;
+    RequestState& kept = requests_[id];
+    kept = RequestState(std::move(request));
+    servers_.learn_hinted_load(kept);
+    return kept;
+}
+
 void BalancingPolicy::on_request_adopted(TimePoint now, Request request, const ServerId& id) {
     int server = servers_.find(id);
     if (server < 0) server = apply_endpoint(now, Endpoint{id, 1, EndpointState::removed, 0, 0, {}});
-    servers_.learn_hinted_load(request);
-    Request& kept = requests_[request.id];
-    kept = std::move(request);
+    RequestState& kept = keep(std::move(request));
     kept.attempts.push_back(Attempt{server, now, false, true});
     kept.may_have_run = 0;
     early_resets_.on_established(now);
@@ -184,7 +188,7 @@
 void BalancingPolicy::on_client_gone(TimePoint, RequestId id) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return;
-    Request& request = it->second;
+    RequestState& request = it->second;
     if (!request.attempts.empty() && request.attempts.back().pending)
         --servers_[request.attempts.back().server].pending_attempts;
     remove_connection(request);
@@ -192,7 +196,7 @@
 }
 
 void BalancingPolicy::on_attempt_established(TimePoint now, RequestId id, int number, Duration) {
-    Request* request = find_request(id, number);
+    RequestState* request = find_request(id, number);
     if (!request || !request->attempts[number].pending) return;
     Attempt& attempt = request->attempts[number];
     attempt.pending = false;
@@ -205,7 +209,7 @@
 
 void BalancingPolicy::on_attempt_ended(TimePoint now, RequestId id, int number, AttemptOutcome outcome,
                                        Duration, bool is_final, const LoadReport&) {
-    Request* request = find_request(id, number);
+    RequestState* request = find_request(id, number);
     if (!request) return;
     const Attempt& attempt = request->attempts[number];
     if (!attempt.pending && !attempt.established) return;
@@ -233,7 +237,7 @@
         rebalance_.start_drain(now, server, surplus.load, surplus.connections, slow_server_drain);
 }
 
-void BalancingPolicy::remove_connection(Request& request) {
+void BalancingPolicy::remove_connection(RequestState& request) {
     const std::optional<int> index = request.connection_index;
     if (!index) return;
     const std::optional<RequestId> replacement = servers_.remove_connection(request);
@@ -244,7 +248,7 @@
 void BalancingPolicy::migrate_next(TimePoint now, int server) {
     const RequestId id = rebalance_.select(now, server);
     if (!id) return;
-    Request& request = requests_.at(id);
+    RequestState& request = requests_.at(id);
     const double load = servers_.load_of(request);
     migrate(request);
     rebalance_.on_migrated(now, server, load);
@@ -276,7 +280,7 @@
     gossip_.forget_locations(server);
     const std::vector<RequestId> connections = state.connections;
     for (const RequestId id : connections) {
-        Request& request = requests_.at(id);
+        RequestState& request = requests_.at(id);
         const Attempt& attempt = request.attempts.back();
         if (attempt.established && attempt.sent < *state.slow_start.started()) migrate(request);
     }
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -22,6 +22,7 @@
 #include "policy/policy_config.h"
 #include "policy/rebalance_cycle.h"
 #include "policy/rendezvous_rankings.h"
+#include "policy/request_state.h"
 #include "policy/retry_policy.h"
 #include "policy/server_table.h"
 #include "policy/types.h"
@@ -96,54 +97,56 @@
         bool is_final, was_established;
     };
     struct Stage {
-        Verdict (BalancingPolicy::*on_request)(TimePoint, Request&);
-        void (BalancingPolicy::*on_result)(TimePoint, Request&, const AttemptResult&);
+        Verdict (BalancingPolicy::*on_request)(TimePoint, RequestState&);
+        void (BalancingPolicy::*on_result)(TimePoint, RequestState&, const AttemptResult&);
     };
     static const std::array<Stage, 4> pipeline_;
 
-    void run_pipeline(TimePoint, Request&);
-    Verdict check_deadline(TimePoint, Request&);
-    Verdict check_retry(TimePoint, Request&);
-    Verdict place(TimePoint, Request&);
-    Verdict dispatch(TimePoint, Request&);
+    void run_pipeline(TimePoint, RequestState&);
+    Verdict check_deadline(TimePoint, RequestState&);
+    Verdict check_retry(TimePoint, RequestState&);
+    Verdict place(TimePoint, RequestState&);
+    Verdict dispatch(TimePoint, RequestState&);
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-    void on_dispatch_result(TimePoint, Request& request, const AttemptResult& result) {
+    void on_dispatch_result(TimePoint, RequestState& request, const AttemptResult& result) {
         Attempt& attempt = request.attempts[result.attempt];
         attempt.pending = false;
         attempt.established = false;
     }
-    void on_place_result(TimePoint, Request&, const AttemptResult&);
+    void on_place_result(TimePoint, RequestState&, const AttemptResult&);
     // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-    void on_check_retry_result(TimePoint, Request& request, const AttemptResult& result) {
+    void on_check_retry_result(TimePoint, RequestState& request, const AttemptResult& result) {
         if (!retry_policy::never_ran(result.outcome) && !request.may_have_run)
             request.may_have_run = result.attempt;
     }
-    void on_check_deadline_result(TimePoint, Request& request, const AttemptResult& result) {
+    void on_check_deadline_result(TimePoint, RequestState& request, const AttemptResult& result) {
         if (result.is_final) forget(request.id);
     }
     /// A resumed stream goes to the server that still has its connection, also while that one drains.
-    bool is_parked_at_server(TimePoint, const Request&, const FailoverTable::Entry*) const;
-    Duration attempt_timeout(TimePoint, const Request&);
+    bool is_parked_at_server(TimePoint, const RequestState&, const FailoverTable::Entry*) const;
+    Duration attempt_timeout(TimePoint, const RequestState&);
     /// The answer comes at once when nothing more is tried: a reject where the rules let it, else a failure.
-    void give_up(Request&);
+    void give_up(RequestState&);
     /// Queued only as long as the next look at it still comes before its deadline.
-    void queue(TimePoint, Request&);
+    void queue(TimePoint, RequestState&);
     void retry_queued(TimePoint);
 
     /// The request, if it has such an attempt; else null.
-    Request* find_request(RequestId id, int attempt) {
+    RequestState* find_request(RequestId id, int attempt) {
         const auto it = requests_.find(id);
         if (it == requests_.end()) return nullptr;
         const bool has_attempt = attempt >= 0 && attempt < static_cast<int>(it->second.attempts.size());
         return has_attempt ? &it->second : nullptr;
     }
+    /// The record of a request that has arrived.
+    RequestState& keep(Request);
     void forget(RequestId id) { requests_.erase(id); }
-    void add_connection(int server, Request& request) {
+    void add_connection(int server, RequestState& request) {
         servers_.add_connection(server, request);
         if (!request.group.empty()) groups_.add(request.group, server);
     }
-    void remove_connection(Request&);
-    void migrate(Request& request) {
+    void remove_connection(RequestState&);
+    void migrate(RequestState& request) {
         actions_.migrate(request.id);
         remove_connection(request);
         forget(request.id);
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -6,19 +6,19 @@
 
 namespace headrouter {
 
-DedupScope FairShares::dedup_scope(const Request& request) const {
+DedupScope FairShares::dedup_scope(const RequestState& request) const {
     if (!request.may_have_run) return DedupScope::all;
     return retry_policy::second_run_scope(config_.request_classes[request.type]);
 }
 
-bool FairShares::is_in_dedup_scope(const Request& request, const ServerState& server) const {
+bool FairShares::is_in_dedup_scope(const RequestState& request, const ServerState& server) const {
     const DedupScope scope = dedup_scope(request);
     if (scope == DedupScope::all) return true;
     const Endpoint& first = servers_[request.attempts[*request.may_have_run].server].endpoint;
     return retry_policy::is_in_scope(scope, first, server.endpoint);
 }
 
-FleetView FairShares::view(TimePoint now, const Request* request) {
+FleetView FairShares::view(TimePoint now, const RequestState* request) {
     servers_.update_degraded(now);
     FleetView fleet = view_in_mode(now, request, false);
     if (fleet.open_servers <= 0 && request) fleet = view_in_mode(now, request, true);
@@ -26,7 +26,7 @@
     return fleet;
 }
 
-FleetView FairShares::view_in_mode(TimePoint now, const Request* request, bool panic_mode) {
+FleetView FairShares::view_in_mode(TimePoint now, const RequestState* request, bool panic_mode) {
     FleetView fleet;
     fleet.total_load = servers_.total_load() + (request ? servers_.load_of(*request) : 0);
     if (request && !request->attempts.empty() && !panic_mode)
@@ -61,7 +61,7 @@
     return fleet;
 }
 
-FleetView::DegradedServer FairShares::view_degraded(TimePoint now, int k, const Request* request,
+FleetView::DegradedServer FairShares::view_degraded(TimePoint now, int k, const RequestState* request,
                                                     bool is_candidate, bool panic_mode) {
     ServerState& server = servers_[k];
     const bool is_counted = is_candidate && (panic_mode || ServerTable::is_selectable(now, server));
@@ -93,7 +93,7 @@
     for (FleetView::DegradedServer* server : unlimited) server->share *= fleet.share_per_weight;
 }
 
-void FairShares::count_slow(FleetView& fleet, const Request* request) const {
+void FairShares::count_slow(FleetView& fleet, const RequestState* request) const {
     const double added = request ? servers_.load_of(*request) : 0;
     double heard = servers_.servers_in_use() + least_heard;
     for (const FleetView::DegradedServer& server : fleet.degraded) {
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -35,7 +35,7 @@
     /// The fleet as it is for this request; null: as it is for balancing. Where no server may take the
     /// request, those in backoff and the one that failed it are counted too (panic mode). Updates which
     /// servers are degraded, and uses up warm-up permits that have lapsed.
-    FleetView view(TimePoint now, const Request* request);
+    FleetView view(TimePoint now, const RequestState* request);
     /// The server's share in that view, as long as it is the latest.
     double share(const FleetView& fleet, int server) const {
         const ServerState& state = servers_[server];
@@ -43,7 +43,7 @@
         return fleet.share_per_weight * state.weight;
     }
     /// Whether the request may run at the server, if a first attempt of it may have run elsewhere.
-    bool is_in_dedup_scope(const Request&, const ServerState&) const;
+    bool is_in_dedup_scope(const RequestState&, const ServerState&) const;
 
    private:
     // Servers heard of beyond those in use, against judging by one or two.
@@ -53,16 +53,16 @@
     static constexpr double fewest_mostly_slow = 3, least_part_mostly_slow = 0.25;
 
     /// The servers that the request is bound to by an attempt that may have run.
-    DedupScope dedup_scope(const Request&) const;
+    DedupScope dedup_scope(const RequestState&) const;
     /// The shares of sound servers follow from sums kept up to date by event; what differs is taken off the
     /// sums.
-    FleetView view_in_mode(TimePoint now, const Request* request, bool panic_mode);
+    FleetView view_in_mode(TimePoint now, const RequestState* request, bool panic_mode);
     /// `share` is the server's weight here; distribute() makes the share of it.
-    FleetView::DegradedServer view_degraded(TimePoint now, int k, const Request* request, bool is_candidate,
-                                            bool panic_mode);
+    FleetView::DegradedServer view_degraded(TimePoint now, int k, const RequestState* request,
+                                            bool is_candidate, bool panic_mode);
     /// Weighted shares, none above its load limit; what a limit keeps off goes to the others by weight.
     static void distribute(FleetView&, double weights);
-    void count_slow(FleetView&, const Request* request) const;
+    void count_slow(FleetView&, const RequestState* request) const;
 
     const PolicyConfig& config_;
     ServerTable& servers_;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -18,7 +18,7 @@
 }
 
 int Placement::choose(const PlacementContext& context) {
-    const Request& request = context.request;
+    const RequestState& request = context.request;
     const bool by_key = request.group.empty() && config_.passthrough;
     const std::string& ranking_name = by_key ? request.key : request.group;
     return ranking_name.empty() ? choose_at_random(context) : choose_for_group(context, ranking_name);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -13,7 +13,7 @@
 /// One request to place, and the fleet as it is for it.
 struct PlacementContext {
     TimePoint now;
-    const Request& request;
+    const RequestState& request;
     const FleetView& fleet;
     double load = 0;          ///< of the request, in mean load units
     int failed_server = -1;   ///< that failed the request's key, if it comes back in the pause; else negative
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -75,10 +75,10 @@
     const size_t n = server.connections.size();
     const auto first = static_cast<size_t>(random_.uniform() * static_cast<double>(n));
     const bool is_slow = servers_.rounded_load_limit(now, server) < servers_.load_on(server);
-    const Request* best = nullptr;
+    const RequestState* best = nullptr;
     double most_freed = 0;
     for (size_t k = 0; k < n; ++k) {
-        const Request& request = requests_.at(server.connections[(first + k) % n]);
+        const RequestState& request = requests_.at(server.connections[(first + k) % n]);
         if (request.attempts.empty() || !request.attempts.back().established) continue;
         if (request.is_protected && server.drain.protected_go_first()) return request.id;
         if (request.is_protected && !is_slow) continue;
@@ -90,7 +90,7 @@
     return best ? best->id : 0;
 }
 
-double RebalanceCycle::load_freed_by(const Request& request, const ServerState& server) const {
+double RebalanceCycle::load_freed_by(const RequestState& request, const ServerState& server) const {
     const double freed = std::min(servers_.load_of(request), server.drain.remaining());
     if (request.group.empty()) return freed;
     return freed + group_load / groups_.members_on(request.group, request.attempts.back().server);
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -1,17 +1,14 @@
 // The rebalance cycle (design 4 to 7): once a cycle outliers are ejected, and servers above their share have
 // a surplus migrated off during the cycle's active phase.
 #pragma once
-#include <unordered_map>
-
 #include "affinity/group_table.h"
 #include "base/pcg32.h"
 #include "policy/fair_shares.h"
 #include "policy/policy_actions.h"
+#include "policy/request_state.h"
 
 namespace headrouter {
 
-using RequestTable = std::unordered_map<RequestId, Request>;
-
 /// Decides which connections are migrated off which server, and when. The migrations themselves are up to the
 /// caller: for each migrate_next timer select(), then migrate the connection, then on_migrated().
 class RebalanceCycle {
@@ -71,7 +68,7 @@
     /// slow server it only means going last, as there nobody is served (i14adcf).
     RequestId select_migration(TimePoint now, const ServerState&);
     /// More than the surplus is no gain. A group's last member takes the group's own work along.
-    double load_freed_by(const Request&, const ServerState&) const;
+    double load_freed_by(const RequestState&, const ServerState&) const;
 
     ServerTable& servers_;
     FairShares& shares_;
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -63,14 +63,14 @@
     server.weight *= std::max(least_zone_factor, 1 - lost);
 }
 
-void ServerTable::record_load(Request& request, double micros) {
+void ServerTable::record_load(RequestState& request, double micros) {
     for (ConnectionLoad* load : {&(*this)[request.attempts.back().server].load, &total_})
         load->report(request.type, request.load, micros);
     request.load = micros;
     loads_.add_report(request.type, micros);
 }
 
-void ServerTable::add_connection(int server, Request& request) {
+void ServerTable::add_connection(int server, RequestState& request) {
     ServerState& state = (*this)[server];
     request.connection_index = static_cast<int>(state.connections.size());
     servers_in_use_ += state.connections.empty();
@@ -82,7 +82,7 @@
     state.drain.set_protected_first(false);
 }
 
-std::optional<RequestId> ServerTable::remove_connection(Request& request) {
+std::optional<RequestId> ServerTable::remove_connection(RequestState& request) {
     ServerState& state = (*this)[request.attempts.back().server];
     const RequestId last = state.connections.back();
     state.connections[*request.connection_index] = last;
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -8,6 +8,7 @@
 #include "fleet_load/subset_order.h"
 #include "load/request_class_loads.h"
 #include "policy/policy_config.h"
+#include "policy/request_state.h"
 #include "policy/server_state.h"
 
 namespace headrouter {
@@ -73,21 +74,21 @@
 
     // Load.
     /// The load that a client hinted for its request.
-    void learn_hinted_load(Request& request) {
+    void learn_hinted_load(RequestState& request) {
         if (!request.hinted_load) return;
         request.load = static_cast<double>(request.hinted_load->ns) / 1000;
         loads_.add_report(request.type, *request.load);
     }
     /// A connection's load was reported, in microseconds a second.
-    void record_load(Request&, double micros);
+    void record_load(RequestState&, double micros);
     /// Counts the request, established or pending, as one of the server's connections.
-    void add_connection(int server, Request&);
+    void add_connection(int server, RequestState&);
     /// The connection of the last attempt has ended. Returns the connection that has taken its place in the
     /// server's list, if any has.
-    std::optional<RequestId> remove_connection(Request&);
+    std::optional<RequestId> remove_connection(RequestState&);
     /// Counts do not mirror load where classes differ in it: a connection counts by its reported load, else
     /// by what its class was seen to need.
-    double load_of(const Request& request) const {
+    double load_of(const RequestState& request) const {
         return request.load ? *request.load / loads_.mean_unit() : loads_.relative_load(request.type);
     }
     double load_on(const ServerState& server) const { return server.load.in_units(loads_); }
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -52,29 +52,17 @@
     std::optional<TimePoint> launched;  ///< start of its process, where the list knows it
 };
 
-/// One try of a request at one server.
-struct Attempt {
-    int server = -1;  ///< index into the policy's servers, in the order in which its lists named them
-    TimePoint sent;
-    bool pending = false, established = false;
-};
-
-/// A request, with what the policy knows of it until its client is gone.
+/// A request as its client asked for it.
 struct Request {
     RequestId id = 0;
-    int type = 0, tenant = 0;  ///< indexes of its request class and of its tenant
-    bool is_reconnect = false, mid_stream = false;
-    std::string key, group;               ///< affinity key and group; empty where the request has none
+    int type = 0;    ///< index of its request class
+    int tenant = 0;  ///< index of its tenant
+    bool is_reconnect = false;
+    bool mid_stream = false;              ///< a server may still have the connection that it resumes
+    std::string key;                      ///< affinity key, empty where the request has none
+    std::string group;                    ///< affinity group, empty where the request is in none
     std::optional<Duration> hinted_load;  ///< work a second
-
-    TimePoint deadline;
-    std::vector<Attempt> attempts;
-    std::optional<int> may_have_run;      ///< the first attempt of which it is not known that it never ran
-    std::optional<int> chosen_server;     ///< where the pipeline has placed the latest attempt
-    std::optional<int> connection_index;  ///< among its server's connections, while it is one of them
-    std::optional<double> load;           ///< as reported, in microseconds a second
-    bool is_protected = false;            ///< recently failed over, and so not migrated again
-    bool queued = false, migrated = false;
+    TimePoint deadline;                   ///< for the answer
 };
 
 /// What a server reports of itself when an attempt ends.
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -32,8 +32,8 @@
     std::vector<std::pair<int, std::string>> told;
 };
 
-inline Request a_call_of_a_group(TimePoint now) {
-    Request c;
+inline RequestState a_call_of_a_group(TimePoint now) {
+    RequestState c;
     c.id = 1;
     c.deadline = now + seconds(2);
     c.group = "asked";
@@ -44,7 +44,7 @@
     BalancingPolicy& b;
     int index(const ServerId& id) { return b.servers_.find(id); }
     ServerState& server(const ServerId& id) { return b.servers_.servers_[b.servers_.index_.at(id)]; }
-    Request& request(RequestId id) { return b.requests_.at(id); }
+    RequestState& request(RequestId id) { return b.requests_.at(id); }
     bool holds(RequestId id) { return b.requests_.contains(id); }
 
     // A server's failures.
@@ -99,7 +99,7 @@
     double pool_total() { return b.gossip_.fleet_total(); }
     double pool_trust(TimePoint t) { return b.gossip_.trust(t); }
     bool room_for_group(TimePoint t, const ServerId& id) {
-        const Request c = a_call_of_a_group(t);
+        const RequestState c = a_call_of_a_group(t);
         const FleetView fleet = b.shares_.view(t, &c);
         const PlacementContext context{t, c, fleet, b.servers_.load_of(c), -1, b.gossip_.trust(t)};
         return b.placement_.has_room(context, index(id), true);
