--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -244,14 +244,14 @@
     visit(a, servers.updates_);
     visit(a, servers.servers_in_use_);
     visit(a, policy.requests_);
-    visit(a, policy.queued_);
+    visit(a, policy.queue_.waiting_);
     visit_state(a, servers.loads_);
     visit(a, policy.failovers_.entries_);
     visit(a, policy.failovers_.by_age_);
     visit(a, policy.message_objective_);
     visit(a, policy.endpoints_.is_asked_);
     visit(a, policy.endpoints_.is_watching_);
-    visit(a, policy.has_queue_timer_);
+    visit(a, policy.queue_.has_timer_);
     visit(a, policy.endpoints_.asked_at_);
     visit(a, policy.endpoints_.retry_pause_);
     visit(a, servers.warm_weight_);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -1,12 +1,9 @@
-// The policy: every decision of one balancer. The ordinary path of a request is the pipeline check_deadline,
-// check_retry, place, dispatch. The result of an attempt goes the other way, and if the client still waits
-// for an answer the request starts through the pipeline again. docs/design.md says which lines follow the
-// design, which extend it, and when each extension acts.
+/// The policy: every decision of one balancer. This file routes its events to the parts that decide:
+/// RequestPipeline (requests and their attempts), EndpointUpdater and EndpointTracker (the endpoint list),
+/// RebalanceCycle (migrations), GossipCoordinator (other balancers). docs/architecture.md names the file of
+/// each rule.
 #pragma once
-#include <array>
 #include <cstdint>
-#include <deque>
-#include <optional>
 #include <string>
 #include <vector>
 
@@ -14,7 +11,9 @@
 #include "affinity/group_table.h"
 #include "base/pcg32.h"
 #include "base/time.h"
+#include "policy/connection_tracker.h"
 #include "policy/endpoint_tracker.h"
+#include "policy/endpoint_updater.h"
 #include "policy/fair_shares.h"
 #include "policy/gossip_coordinator.h"
 #include "policy/placement.h"
@@ -22,8 +21,9 @@
 #include "policy/policy_config.h"
 #include "policy/rebalance_cycle.h"
 #include "policy/rendezvous_rankings.h"
+#include "policy/request_pipeline.h"
+#include "policy/request_queue.h"
 #include "policy/request_state.h"
-#include "policy/retry_policy.h"
 #include "policy/server_table.h"
 #include "policy/types.h"
 #include "retry/early_reset_rate.h"
@@ -80,89 +80,19 @@
    private:
     friend struct Peek;         // the tests build states directly
     friend struct StateAccess;  // a capture keeps the whole state, and restores it
-    // How long a queued request waits until it is looked at again.
-    static constexpr Duration queue_interval = millis(20);
-    // The time-out of an attempt while another could follow: a part of the setup objective, but not more
-    // than a part of the time that is left.
-    static constexpr double timeout_of_objective = 0.6, timeout_of_time_left = 0.5;
-    // The surplus of a slow server is migrated off within this time.
+    /// The surplus of a slow server is migrated off within this time.
     static constexpr Duration slow_server_drain = seconds(0.8);
 
-    /// What a stage of the pipeline says of a request.
-    enum class Verdict { next_stage, queue, give_up };
-    /// How an attempt ended, for the stages on the way back.
-    struct AttemptResult {
-        int attempt;
-        AttemptOutcome outcome;
-        bool is_final, was_established;
-    };
-    struct Stage {
-        Verdict (BalancingPolicy::*on_request)(TimePoint, RequestState&);
-        void (BalancingPolicy::*on_result)(TimePoint, RequestState&, const AttemptResult&);
-    };
-    static const std::array<Stage, 4> pipeline_;
-
-    void run_pipeline(TimePoint, RequestState&);
-    Verdict check_deadline(TimePoint, RequestState&);
-    Verdict check_retry(TimePoint, RequestState&);
-    Verdict place(TimePoint, RequestState&);
-    Verdict dispatch(TimePoint, RequestState&);
-    // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-    void on_dispatch_result(TimePoint, RequestState& request, const AttemptResult& result) {
-        Attempt& attempt = request.attempts[result.attempt];
-        attempt.pending = false;
-        attempt.established = false;
-    }
-    void on_place_result(TimePoint, RequestState&, const AttemptResult&);
-    // NOLINTNEXTLINE(readability-convert-member-functions-to-static): a stage is a pointer to a member.
-    void on_check_retry_result(TimePoint, RequestState& request, const AttemptResult& result) {
-        if (!retry_policy::never_ran(result.outcome) && !request.may_have_run)
-            request.may_have_run = result.attempt;
-    }
-    void on_check_deadline_result(TimePoint, RequestState& request, const AttemptResult& result) {
-        if (result.is_final) forget(request.id);
-    }
-    /// A resumed stream goes to the server that still has its connection, also while that one drains.
-    bool is_parked_at_server(TimePoint, const RequestState&, const FailoverTable::Entry*) const;
-    Duration attempt_timeout(TimePoint, const RequestState&);
-    /// The answer comes at once when nothing more is tried: a reject where the rules let it, else a failure.
-    void give_up(RequestState&);
-    /// Queued only as long as the next look at it still comes before its deadline.
-    void queue(TimePoint, RequestState&);
-    void retry_queued(TimePoint);
-
     /// The request, if it has such an attempt; else null.
-    RequestState* find_request(RequestId id, int attempt) {
-        const auto it = requests_.find(id);
-        if (it == requests_.end()) return nullptr;
-        const bool has_attempt = attempt >= 0 && attempt < static_cast<int>(it->second.attempts.size());
-        return has_attempt ? &it->second : nullptr;
-    }
-    /// The record of a request that has arrived.
-    RequestState& keep(Request);
-    void forget(RequestId id) { requests_.erase(id); }
-    void add_connection(int server, RequestState& request) {
-        servers_.add_connection(server, request);
-        if (!request.group.empty()) groups_.add(request.group, server);
-    }
-    void remove_connection(RequestState&);
-    void migrate(RequestState& request) {
-        actions_.migrate(request.id);
-        remove_connection(request);
-        forget(request.id);
-    }
+    RequestState* find_request(RequestId, int attempt);
+    /// Begins the record of a request that has arrived.
+    RequestState& add_request(Request);
     void migrate_next(TimePoint, int server);
-    /// Returns the server's index.
-    int apply_endpoint(TimePoint, const Endpoint&);
-    /// A new process under an old id has none of the old one's connections.
-    void replace_process(int server);
 
     PolicyConfig config_;
     PolicyActions& actions_;
     Pcg32 random_;
     RequestTable requests_;
-    std::deque<RequestId> queued_;
-    bool has_queue_timer_ = false;
     Duration message_objective_;  // the shortest of any request class
     RetryBudget retry_budget_;
     EarlyResetRate early_resets_;
@@ -176,6 +106,11 @@
     GossipCoordinator gossip_{{config_, servers_, rankings_, actions_, random_}};
     Placement placement_{{config_, servers_, shares_, groups_, rankings_, gossip_, random_}};
     RebalanceCycle rebalance_{{servers_, shares_, groups_, requests_, actions_, random_}};
+    ConnectionTracker connections_{{servers_, groups_, requests_, actions_}};
+    EndpointUpdater endpoint_updater_{{servers_, gossip_, connections_, requests_}};
+    RequestQueue queue_{config_, actions_};
+    RequestPipeline pipeline_{{config_, servers_, shares_, failovers_, gossip_, placement_, retry_budget_,
+                               early_resets_, connections_, requests_, queue_, actions_, random_}};
 };
 
 }  // namespace headrouter
--- /dev/null
+++ b/src/policy/connection_tracker.h
@@ -0,0 +1,41 @@
+/// Which server each request's connection is at.
+#pragma once
+#include "affinity/group_table.h"
+#include "policy/policy_actions.h"
+#include "policy/request_state.h"
+#include "policy/server_table.h"
+
+namespace headrouter {
+
+/// Keeps a connection's three places in step: its request's record, its server, its affinity group. A
+/// connection is counted from the start of its attempt to its end.
+class ConnectionTracker {
+   public:
+    /// All must outlive it.
+    struct Parts {
+        ServerTable& servers;
+        GroupTable& groups;
+        RequestTable& requests;
+        PolicyActions& actions;
+    };
+    explicit ConnectionTracker(const Parts& parts)
+        : servers_(parts.servers),
+          groups_(parts.groups),
+          requests_(parts.requests),
+          actions_(parts.actions) {}
+
+    /// Counts the connection of the request's last attempt, which is at `server`.
+    void add(int server, RequestState&);
+    /// Takes it away again. No effect where the request has none.
+    void remove(RequestState&);
+    /// Has the request's client come back, and forgets the request.
+    void migrate(RequestState&);
+
+   private:
+    ServerTable& servers_;
+    GroupTable& groups_;
+    RequestTable& requests_;
+    PolicyActions& actions_;
+};
+
+}  // namespace headrouter
