--- a/src/router/active_requests.cpp
+++ b/src/router/active_requests.cpp
@@ -2,8 +2,16 @@
 
 #include <utility>
 
+#include "policy/retry_policy.h"
+
 namespace headrouter {
 
+bool may_client_retry(const ActiveRequest& request, const PolicyConfig& config) {
+    return retry_policy::may_client_retry(config.request_classes[request.request_line.request.type],
+                                          request.may_have_run,
+                                          retry_policy::ClientRetryBasis::execution_only);
+}
+
 ActiveRequest* ActiveRequests::find(RequestId id) {
     const auto it = requests_.find(id);
     return it == requests_.end() ? nullptr : &it->second;
--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -36,6 +36,9 @@
     bool may_have_run_before_attempt = false;  ///< the same before the latest attempt
 };
 
+/// Whether the client of a request that the policy has not answered may ask again, see retry_policy.
+bool may_client_retry(const ActiveRequest&, const PolicyConfig&);
+
 /// Active requests by the balancer's id, and the ids by which servers know them.
 class ActiveRequests {
    public:
--- /dev/null
+++ b/src/router/request_intake.cpp
@@ -0,0 +1,75 @@
+#include "router/request_intake.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "downstream/reply_lines.h"
+#include "transport/line_text.h"
+
+namespace headrouter {
+
+namespace {
+
+// The client waits from when it sent its line, and its answer has a way to go as well.
+constexpr Duration reply_margin = millis(10);
+constexpr double max_reply_margin_per_wait = 0.5;
+
+}  // namespace
+
+void RequestIntake::on_request_line(RequestId id, std::string_view line) {
+    Result<RequestLine, RequestLineError> parsed = parse_request_line(line, parts_.config);
+    if (!parsed) return refuse_malformed(id, line, parsed.error());
+    if (parts_.active_requests.has_wire_id(parsed->wire_id)) {
+        // Servers know the id too: each of them would turn the line away and be penalized for it.
+        parts_.counters.add(Counter::ids_open_already);
+        return refuse_malformed(id, line, RequestLineError::id_in_use);
+    }
+    const TimePoint now = parts_.environment.now();
+    const bool is_new = parsed->established_at.empty();
+    const auto origin = is_new ? AdmissionControl::RequestOrigin::new_request
+                               : AdmissionControl::RequestOrigin::established_before;
+    if (const std::optional<AdmissionRejection> rejection = admission_.check(origin, now))
+        return reject(id, *parsed, *rejection);
+    if (is_new)
+        accept(id, std::move(*parsed), now);
+    else
+        adopt(id, std::move(*parsed), now);
+}
+
+void RequestIntake::refuse_malformed(RequestId id, std::string_view line, RequestLineError error) {
+    parts_.counters.add(Counter::malformed_client_lines);
+    parts_.log.debug("request_malformed",
+                     {{"request", id}, {"found", describe(error)}, {"line", trim_line_end(line)}});
+    parts_.downstream.reply(id, error_reply);
+}
+
+void RequestIntake::reject(RequestId id, const RequestLine& request_line,
+                           const AdmissionRejection& rejection) {
+    parts_.counters.add(rejection.counter);
+    parts_.log.debug("request_refused", {{"request", id}, {"reason", rejection.reason}});
+    parts_.setup_counters.add(admin::SetupOutcome::declined, request_line.request.type);
+    parts_.downstream.reply(id, busy_reply_after(rejection.retry_after));
+}
+
+void RequestIntake::accept(RequestId id, RequestLine request_line, TimePoint now) {
+    ActiveRequest& active = parts_.active_requests.add(id, std::move(request_line));
+    Request& request = active.request_line.request;
+    const Duration wait = active.request_line.wait;
+    request.id = id;
+    request.deadline = now + wait - std::min(reply_margin, wait * max_reply_margin_per_wait);
+    parts_.counters.add(Counter::requests_accepted);
+    recent_reconnects_.add(now, request.is_reconnect);
+    parts_.policy.on_request(now, request);
+    parts_.actions.perform_all();
+}
+
+void RequestIntake::adopt(RequestId id, RequestLine request_line, TimePoint now) {
+    ActiveRequest& active = parts_.active_requests.add(id, std::move(request_line));
+    Request& request = active.request_line.request;
+    active.is_adopted = true;
+    request.id = id;
+    request.deadline = now + parts_.adopter.time_limit(now);
+    parts_.adopter.connect(id, active, now);
+}
+
+}  // namespace headrouter
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -2,7 +2,6 @@
 #pragma once
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "admin/counters.h"
 #include "admin/log.h"
@@ -14,11 +13,16 @@
 #include "downstream/request_line.h"
 #include "router/active_requests.h"
 #include "router/admission_control.h"
+#include "router/attempt_handler.h"
 #include "router/gossip_interface.h"
 #include "router/policy_action_queue.h"
 #include "router/request_adopter.h"
 #include "router/request_completion.h"
+#include "router/request_intake.h"
+#include "router/request_watchdog.h"
 #include "router/router_environment.h"
+#include "router/router_parts.h"
+#include "router/shutdown_drain.h"
 #include "router/shutdown_schedule.h"
 #include "upstream/upstream_interface.h"
 
@@ -40,19 +44,23 @@
     /// Where the policy's gossip goes; without this it is dropped.
     void set_gossip(GossipInterface& gossip) { actions_.set_gossip(gossip); }
 
-    void on_request_line(RequestId, std::string_view line) override;
+    void on_request_line(RequestId id, std::string_view line) override { intake_.on_request_line(id, line); }
     void on_client_bytes(RequestId, std::string_view bytes) override;
     void on_client_closed(RequestId, CloseReason) override;
     void on_early_client_data(RequestId) override;
     void on_client_drained(RequestId) override;
 
-    bool may_send(RequestId) override;
-    void on_attempt_written(RequestId) override;
-    void on_attempt_established(RequestId, std::string_view line) override;
+    bool may_send(RequestId id) override { return attempts_.may_send(id); }
+    void on_attempt_written(RequestId id) override { attempts_.on_written(id); }
+    void on_attempt_established(RequestId id, std::string_view line) override {
+        attempts_.on_established(id, line);
+    }
     void on_server_bytes(RequestId, std::string_view bytes, bool complete) override;
     void on_load_report(RequestId, double load_us_per_s) override;
     void on_latency_report(RequestId, double latency_ms) override;
-    void on_attempt_ended(RequestId, const AttemptResult&) override;
+    void on_attempt_ended(RequestId id, const AttemptResult& result) override {
+        attempts_.on_ended(id, result);
+    }
     void on_server_drained(RequestId) override;
 
     void on_gossip(int replica_index, const std::string& bytes) override;
@@ -89,29 +97,9 @@
    private:
     friend struct HandoverAccess;
 
-    /// What is due at a tick, each in ascending order.
-    struct DueRequests {
-        std::vector<RequestId> overdue;           // the policy has not answered them in time
-        std::vector<RequestId> stuck_migrations;  // their servers stopped in the middle of a line
-        std::vector<RequestId> adoption_retries;
-    };
-
-    void refuse_malformed(RequestId, std::string_view line, RequestLineError);
-    void reject(RequestId, const RequestLine&, const AdmissionRejection&);
-    void accept(RequestId, RequestLine, TimePoint now);
-    void adopt(RequestId, RequestLine, TimePoint now);
-    /// Whether a request that the policy has not answered may be rejected, see retry_policy.
-    bool may_client_retry(const ActiveRequest&) const;
-
-    void log_attempt_ended(RequestId, const ActiveRequest&, const AttemptResult&, Duration duration);
-    void close_after_last_attempt(RequestId, const ActiveRequest&, const AttemptResult&);
-
-    DueRequests find_due(TimePoint now) const;
-    void fail_overdue(RequestId, TimePoint now);
-    void drain(TimePoint now);
-    void end_unestablished(RequestId, TimePoint now);
-
-    void perform(const StartAttemptAction&) override;
+    RouterParts parts();
+
+    void perform(const StartAttemptAction& action) override { attempts_.start(action); }
     void perform(const RejectAction&) override;
     void perform(const FailAction&) override;
     void perform(const MigrateAction&) override;
@@ -128,10 +116,14 @@
     RequestAdopter adopter_;
     RequestCompletion completion_;
     ShutdownSchedule shutdown_;
-    AdmissionControl admission_;
-    SlidingWindow<5> recent_reconnects_{
-        seconds(1)};  // requests whose connections had broken or been migrated
+    // Requests whose connections had broken or been migrated.
+    SlidingWindow<5> recent_reconnects_{seconds(1)};
     PolicyActionQueue actions_;
+    AdmissionControl admission_;
+    RequestIntake intake_;
+    AttemptHandler attempts_;
+    RequestWatchdog watchdog_;
+    ShutdownDrain drain_;
     capture::RecordingPolicy policy_;  // last, as it sets its first timer while it is constructed
 };
 
--- /dev/null
+++ b/src/router/request_watchdog.cpp
@@ -0,0 +1,61 @@
+#include "router/request_watchdog.h"
+
+#include <algorithm>
+
+namespace headrouter {
+
+namespace {
+
+// A request without an answer so long after its deadline is answered without the policy.
+constexpr Duration overdue_after = millis(15);
+
+// How long a migration waits for the end of the line that the server has begun.
+constexpr Duration max_migration_wait = seconds(0.5);
+
+constexpr int64_t ns_per_ms = 1'000'000;
+
+}  // namespace
+
+void RequestWatchdog::check(TimePoint now) {
+    const DueRequests due = find_due(now);
+    for (const RequestId id : due.overdue) fail_overdue(id, now);
+    for (const RequestId id : due.stuck_migrations) end_stuck_migration(id);
+    for (const RequestId id : due.adoption_retries)
+        parts_.adopter.connect(id, *parts_.active_requests.find(id), now);
+}
+
+RequestWatchdog::DueRequests RequestWatchdog::find_due(TimePoint now) const {
+    DueRequests due;
+    parts_.active_requests.for_each([&](RequestId id, const ActiveRequest& request) {
+        if (request.is_established) {
+            if (request.migration_pending && now - request.migration_requested_at > max_migration_wait)
+                due.stuck_migrations.push_back(id);
+        } else if (now > request.request_line.request.deadline + overdue_after) {
+            due.overdue.push_back(id);
+        } else if (RequestAdopter::is_retry_due(request, now)) {
+            due.adoption_retries.push_back(id);
+        }
+    });
+    for (std::vector<RequestId>* ids : {&due.overdue, &due.stuck_migrations, &due.adoption_retries})
+        std::sort(ids->begin(), ids->end());
+    return due;
+}
+
+void RequestWatchdog::fail_overdue(RequestId id, TimePoint now) {
+    const ActiveRequest& request = *parts_.active_requests.find(id);
+    const bool policy_knows = !request.is_adopted;
+    const Duration late = now - request.request_line.request.deadline;
+    parts_.counters.add(Counter::answers_overdue);
+    parts_.log.warning("answer_overdue", {{"request", id}, {"late_ms", late.ns / ns_per_ms}});
+    parts_.upstream.close(id, CloseReason::fin);
+    if (policy_knows) parts_.policy.on_client_gone(now, id);
+    parts_.completion.fail(id);
+}
+
+void RequestWatchdog::end_stuck_migration(RequestId id) {
+    parts_.active_requests.remove(id);
+    parts_.upstream.close(id, CloseReason::fin);
+    parts_.downstream.close(id, CloseReason::fin);
+}
+
+}  // namespace headrouter
