--- a/src/policy/endpoint_tracker.cpp
+++ b/src/policy/endpoint_tracker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Balancers that failed together do not ask together again.
+// Parts of the pause, its jitter: balancers that failed together must not ask together again.
 constexpr double least_pause_part = 0.75;
 constexpr double random_pause_part = 0.5;
 
--- a/src/policy/endpoint_tracker.h
+++ b/src/policy/endpoint_tracker.h
@@ -27,13 +27,14 @@
    private:
     friend struct StateAccess;
     static constexpr Duration first_retry_pause = millis(300);
-    // Far within the time after which servers take their drains for known everywhere.
+    // Far below the time after which a draining server counts on being known as such everywhere.
     static constexpr Duration longest_retry_pause = seconds(2);
 
     const PolicyConfig& config_;
     PolicyActions& actions_;
     Pcg32& random_;
-    bool is_asked_ = false, is_watching_ = false;
+    bool is_asked_ = false;     // and not answered yet
+    bool is_watching_ = false;  // the last answer was a list
     TimePoint asked_at_;
     Duration retry_pause_ = first_retry_pause;
 };
--- a/src/policy/policy_actions.h
+++ b/src/policy/policy_actions.h
@@ -1,4 +1,4 @@
-// What the policy decides, as calls to whoever hosts it.
+/// What the policy decides, as calls to whoever hosts it.
 #pragma once
 #include <string>
 
@@ -25,6 +25,7 @@
     virtual void set_timer(TimePoint, uint64_t token) = 0;
     /// Asks for the endpoint list and for each change of it.
     virtual void watch_endpoints() = 0;
+    /// Sends a message to the balancer with that replica index, or to `everyone_else`.
     virtual void send_gossip(int replica, const std::string& bytes) = 0;
 };
 
--- a/src/policy/policy_config.h
+++ b/src/policy/policy_config.h
@@ -1,4 +1,4 @@
-// The configuration of one balancer's policy.
+/// The configuration of one balancer's policy.
 #pragma once
 #include <algorithm>
 #include <vector>
@@ -15,10 +15,15 @@
     int max_attempts = 1;
     uint64_t replica_index = 0;  ///< of this balancer among replica_count
     int zone = 0;
-    double cross_zone_cost = 0;  ///< of a request that crosses zones, as a part of all service
-    bool polls_endpoints = false, passthrough = false, groups = false, advises_retry_after = false;
+    double cross_zone_cost = 0;        ///< of a request that crosses zones, as a part of all service
+    bool polls_endpoints = false;      ///< the policy asks for the endpoint list, and again after errors
+    bool passthrough = false;          ///< packets pass through, and may come to another balancer at any time
+    bool groups = false;               ///< requests name affinity groups
+    bool advises_retry_after = false;  ///< rejects say when to ask again
     Duration park;  ///< how long a server keeps the connection of a client that another balancer serves
-    Duration max_retry_after, step, slow_start_time;
+    Duration max_retry_after;
+    Duration step;                ///< the least time between two batches of the host's events
+    Duration slow_start_time;     ///< from the launch of a server until it is warm
     int replica_count = 1;        ///< balancers of this tier, this one counted
     Duration wall_clock_offset;   ///< wall clock less the policy's: gossip rounds are by the wall clock
     bool gossip_enabled = false;  ///< balancers may send one another messages
--- a/src/policy/timers.h
+++ b/src/policy/timers.h
@@ -1,4 +1,4 @@
-// The tokens of the policy's timers.
+/// The tokens of the policy's timers.
 #pragma once
 #include <cstdint>
 
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -1,5 +1,5 @@
-// The plain types that cross the policy's interface: requests, their attempts, endpoints, and the outcomes
-// that are reported of them. No behaviour, and nothing of the policy's inside.
+/// The plain types that cross the policy's interface: requests, endpoints, and the outcomes that are reported
+/// of attempts. No behaviour, and nothing of the policy's inside.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -39,7 +39,9 @@
 struct RequestClass {
     Idempotency idempotency = Idempotency::idempotent;
     DedupScope dedup_scope = DedupScope::all;
-    Duration setup_objective, deadline, dedup_window;
+    Duration setup_objective;    ///< until a request is established
+    Duration deadline;           ///< until a request is answered
+    Duration dedup_window;       ///< from the first attempt; how long servers recognise a keyed request
     Duration message_objective;  ///< zero where the class has none
 };
 
@@ -48,7 +50,8 @@
     ServerId server;
     double weight = 1;
     EndpointState state = EndpointState::active;
-    int zone = 0, cell = 0;
+    int zone = 0;
+    int cell = 0;
     std::optional<TimePoint> launched;  ///< start of its process, where the list knows it
 };
 
--- a/src/retry/early_reset_rate.h
+++ b/src/retry/early_reset_rate.h
@@ -1,8 +1,6 @@
 /// How many of the connections that were established of late were reset at once.
-///
-/// An overloaded server drops its newest connections. Where most of what is established is reset again, each
-/// retry of such a connection keeps the servers overloaded, long after the cause is over; the policy turns
-/// retries away at this rate.
+/// Overloaded servers drop their newest connections. The policy rejects reconnects at this rate, against
+/// reconnects that keep the servers overloaded after the cause is over.
 #pragma once
 #include "base/sliding_window.h"
 
@@ -15,14 +13,14 @@
    public:
     void on_established(TimePoint now) { established_.add(now, 1); }
 
-    /// A reset counts only where the connection was established within the window: a server that dies resets
-    /// old ones too, and these say nothing of whether new ones hold.
+    /// A reset counts only where the connection was established within the window: those of older ones say
+    /// nothing of whether new ones hold.
     void on_reset(TimePoint now, TimePoint established_at) {
         if (now - established_at < window) resets_.add(now, 1);
     }
 
-    /// Between 0 and, where establishments have left the window before their resets, a little over 1. One
-    /// establishment that held is counted in, so that a balancer with one a minute does not judge by it.
+    /// Between 0 and, where establishments have left the window before their resets, a little over 1. Counts
+    /// one more establishment, against judging by a single one.
     [[nodiscard]] double rate(TimePoint now) { return resets_.sum(now) / (established_.sum(now) + 1); }
 
    private:
--- a/src/retry/retry_budget.h
+++ b/src/retry/retry_budget.h
@@ -1,7 +1,5 @@
 /// A limit to retries of requests that an earlier attempt may have cost a server's work already.
-///
-/// Where everything fails at once, each such retry is work that delays all other requests: a fleet that is
-/// asked four times for each request stays overloaded long after the cause is over.
+/// Guards against retry storms, which keep a fleet overloaded after the cause is over.
 #pragma once
 #include "base/sliding_window.h"
 
@@ -22,9 +20,9 @@
 
    private:
     friend struct ComponentStateAccess;
-    /// Allowed whatever the traffic: a balancer with one request a second learns of a failed server by them.
+    /// Retries in the window, whatever the traffic: with few requests, they are what shows a failed server.
     static constexpr double min_retries = 2;
-    /// Retries for each request: as many as fail at once where a fifth of the servers does.
+    /// Further retries for each request in the window.
     static constexpr double retry_ratio = 0.2;
     SlidingWindow<5> requests_{seconds(1)};
     SlidingWindow<5> retries_{seconds(1)};
--- a/src/router/request_adopter.cpp
+++ b/src/router/request_adopter.cpp
@@ -8,8 +8,8 @@
 constexpr Duration retry_interval = millis(200);
 constexpr Duration max_connect_timeout = seconds(2);
 
-// All clients of the time before come soon after the start. Whoever comes later is given up earlier, as
-// nobody else is left waiting for so long.
+// Since the start of the process: clients of earlier processes come within this time, and are tried for so
+// long. Those that come later are tried for the late limit.
 constexpr Duration adoption_period = seconds(39);
 constexpr Duration late_time_limit = seconds(2);
 }  // namespace
