--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -2,23 +2,23 @@
 
 #include <algorithm>
 
+#include "policy/retry_policy.h"
+
 namespace headrouter {
 
-DedupScope FairShares::retry_scope(const Request& request) const {
-    const RequestClass& request_class = config_.request_classes[request.type];
-    const bool is_bound = request.may_have_run >= 0 && request_class.idempotency == Idempotency::keyed;
-    return is_bound ? request_class.dedup_scope : DedupScope::all;
+DedupScope FairShares::dedup_scope(const RequestState& request) const {
+    if (!request.may_have_run) return DedupScope::all;
+    return retry_policy::second_run_scope(config_.request_classes[request.type]);
 }
 
-bool FairShares::is_in_retry_scope(const Request& request, const ServerState& server) const {
-    const DedupScope scope = retry_scope(request);
+bool FairShares::is_in_dedup_scope(const RequestState& request, const ServerState& server) const {
+    const DedupScope scope = dedup_scope(request);
     if (scope == DedupScope::all) return true;
-    const Endpoint& first = servers_[request.attempts[request.may_have_run].server].endpoint;
-    if (scope == DedupScope::zone) return server.endpoint.zone == first.zone;
-    return server.endpoint.cell == first.cell;
+    const Endpoint& first = servers_[request.attempts[*request.may_have_run].server].endpoint;
+    return retry_policy::is_in_scope(scope, first, server.endpoint);
 }
 
-FleetView FairShares::view(TimePoint now, const Request* request) {
+FleetView FairShares::view(TimePoint now, const RequestState* request) {
     servers_.update_degraded(now);
     FleetView fleet = view_in_mode(now, request, false);
     if (fleet.open_servers <= 0 && request) fleet = view_in_mode(now, request, true);
@@ -26,7 +26,7 @@
     return fleet;
 }
 
-FleetView FairShares::view_in_mode(TimePoint now, const Request* request, bool panic_mode) {
+FleetView FairShares::view_in_mode(TimePoint now, const RequestState* request, bool panic_mode) {
     FleetView fleet;
     fleet.total_load = servers_.total_load() + (request ? servers_.load_of(*request) : 0);
     if (request && !request->attempts.empty() && !panic_mode)
@@ -44,7 +44,7 @@
     };
     if (fleet.excluded_server >= 0 && servers_[fleet.excluded_server].endpoint.state == EndpointState::active)
         leave_out(servers_[fleet.excluded_server]);
-    if (request && retry_scope(*request) != DedupScope::all)
+    if (request && dedup_scope(*request) != DedupScope::all)
         for (int k = 0; k < servers_.size(); ++k)
             if (servers_[k].endpoint.state == EndpointState::active && k != fleet.excluded_server &&
                 !is_in_dedup_scope(*request, servers_[k]))
@@ -61,7 +61,7 @@
     return fleet;
 }
 
-FleetView::DegradedServer FairShares::view_degraded(TimePoint now, int k, const Request* request,
+FleetView::DegradedServer FairShares::view_degraded(TimePoint now, int k, const RequestState* request,
                                                     bool is_candidate, bool panic_mode) {
     ServerState& server = servers_[k];
     const bool is_counted = is_candidate && (panic_mode || ServerTable::is_selectable(now, server));
@@ -93,7 +93,7 @@
     for (FleetView::DegradedServer* server : unlimited) server->share *= fleet.share_per_weight;
 }
 
-void FairShares::count_slow(FleetView& fleet, const Request* request) const {
+void FairShares::count_slow(FleetView& fleet, const RequestState* request) const {
     const double added = request ? servers_.load_of(*request) : 0;
     double heard = servers_.servers_in_use() + least_heard;
     for (const FleetView::DegradedServer& server : fleet.degraded) {
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -1,5 +1,5 @@
-// The plain types that cross the policy's interface: requests, their attempts, endpoints, and the outcomes
-// that are reported of them. No behaviour, and nothing of the policy's inside.
+/// The plain types that cross the policy's interface: requests, endpoints, and the outcomes that are reported
+/// of attempts. No behaviour, and nothing of the policy's inside.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -35,17 +35,13 @@
     not_sent
 };
 
-/// Whether it is known of an attempt that ended so that the request never ran at its server.
-constexpr bool never_ran(AttemptOutcome outcome) {
-    return outcome == AttemptOutcome::at_capacity || outcome == AttemptOutcome::connect_failed ||
-           outcome == AttemptOutcome::not_sent;
-}
-
 /// What differs by class of request, as far as the policy reads it.
 struct RequestClass {
     Idempotency idempotency = Idempotency::idempotent;
     DedupScope dedup_scope = DedupScope::all;
-    Duration setup_objective, deadline, dedup_window;
+    Duration setup_objective;    ///< until a request is established
+    Duration deadline;           ///< until a request is answered
+    Duration dedup_window;       ///< from the first attempt; how long servers recognise a keyed request
     Duration message_objective;  ///< zero where the class has none
 };
 
@@ -54,33 +50,22 @@
     ServerId server;
     double weight = 1;
     EndpointState state = EndpointState::active;
-    int zone = 0, cell = 0;
+    int zone = 0;
+    int cell = 0;
     std::optional<TimePoint> launched;  ///< start of its process, where the list knows it
 };
 
-/// One try of a request at one server.
-struct Attempt {
-    int server = -1;  ///< index into the policy's servers, in the order in which its lists named them
-    TimePoint sent;
-    bool pending = false, established = false;
-};
-
-/// A request, with what the policy knows of it until its client is gone.
+/// A request as its client asked for it.
 struct Request {
     RequestId id = 0;
-    int type = 0, tenant = 0;  ///< indexes of its request class and of its tenant
-    bool is_reconnect = false, mid_stream = false;
-    std::string key, group;               ///< affinity key and group; empty where the request has none
+    int type = 0;    ///< index of its request class
+    int tenant = 0;  ///< index of its tenant
+    bool is_reconnect = false;
+    bool mid_stream = false;              ///< a server may still have the connection that it resumes
+    std::string key;                      ///< affinity key, empty where the request has none
+    std::string group;                    ///< affinity group, empty where the request is in none
     std::optional<Duration> hinted_load;  ///< work a second
-
-    TimePoint deadline;
-    std::vector<Attempt> attempts;
-    int may_have_run = -1;      ///< the first attempt of which it is not known that it never ran
-    int chosen_server = -1;     ///< where the pipeline has placed the next attempt
-    int connection_index = -1;  ///< among its server's connections; negative while it is none of them
-    double load = -1;           ///< reported load in microseconds a second; negative until reported
-    bool is_protected = false;  ///< recently failed over, and so not migrated again
-    bool queued = false, migrated = false;
+    TimePoint deadline;                   ///< for the answer
 };
 
 /// What a server reports of itself when an attempt ends.
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -1,10 +1,7 @@
 /// Where the connections of clients and those to servers meet.
 #pragma once
-#include <functional>
-#include <optional>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "admin/counters.h"
 #include "admin/log.h"
@@ -15,30 +12,22 @@
 #include "downstream/downstream_interface.h"
 #include "downstream/request_line.h"
 #include "router/active_requests.h"
+#include "router/admission_control.h"
+#include "router/attempt_handler.h"
 #include "router/gossip_interface.h"
 #include "router/policy_action_queue.h"
 #include "router/request_adopter.h"
 #include "router/request_completion.h"
+#include "router/request_intake.h"
+#include "router/request_watchdog.h"
+#include "router/router_environment.h"
+#include "router/router_parts.h"
+#include "router/shutdown_drain.h"
 #include "router/shutdown_schedule.h"
 #include "upstream/upstream_interface.h"
 
 namespace headrouter {
 
-/// What the router needs of the process around it.
-struct RouterEnvironment {
-    std::function<TimePoint()> now;
-
-    /// Has `RequestRouter::on_timer(token)` called at that time.
-    std::function<void(TimePoint, uint64_t token)> set_timer;
-
-    /// Makes room for one request more. Where there is none, the counter of what the process is short of.
-    std::function<std::optional<Counter>()> find_shortage;
-
-    /// Whether other balancers may know newer endpoints for so long already that these must not be used any
-    /// more.
-    std::function<bool()> is_endpoint_list_outdated = [] { return false; };
-};
-
 /// Tells the balancing policy what happens and carries out what it decides. The router itself decides
 /// nothing; it adds what sockets need: an answer in any case before the client gives up, the end of one
 /// connection handed on to the other one, a last look at the endpoint list before a byte goes out. It runs on
@@ -55,19 +44,23 @@
     /// Where the policy's gossip goes; without this it is dropped.
     void set_gossip(GossipInterface& gossip) { actions_.set_gossip(gossip); }
 
-    void on_request_line(RequestId, std::string_view line) override;
+    void on_request_line(RequestId id, std::string_view line) override { intake_.on_request_line(id, line); }
     void on_client_bytes(RequestId, std::string_view bytes) override;
     void on_client_closed(RequestId, CloseReason) override;
     void on_early_client_data(RequestId) override;
     void on_client_drained(RequestId) override;
 
-    bool may_send(RequestId) override;
-    void on_attempt_written(RequestId) override;
-    void on_attempt_established(RequestId, std::string_view line) override;
+    bool may_send(RequestId id) override { return attempts_.may_send(id); }
+    void on_attempt_written(RequestId id) override { attempts_.on_written(id); }
+    void on_attempt_established(RequestId id, std::string_view line) override {
+        attempts_.on_established(id, line);
+    }
     void on_server_bytes(RequestId, std::string_view bytes, bool complete) override;
     void on_load_report(RequestId, double load_us_per_s) override;
     void on_latency_report(RequestId, double latency_ms) override;
-    void on_attempt_ended(RequestId, const AttemptResult&) override;
+    void on_attempt_ended(RequestId id, const AttemptResult& result) override {
+        attempts_.on_ended(id, result);
+    }
     void on_server_drained(RequestId) override;
 
     void on_gossip(int replica_index, const std::string& bytes) override;
@@ -104,28 +97,9 @@
    private:
     friend struct HandoverAccess;
 
-    /// What is due at a tick, each in ascending order.
-    struct DueRequests {
-        std::vector<RequestId> overdue;           // the policy has not answered them in time
-        std::vector<RequestId> stuck_migrations;  // their servers stopped in the middle of a line
-        std::vector<RequestId> adoption_retries;
-    };
-
-    void refuse_malformed(RequestId, std::string_view line, RequestLineError);
-    bool admit(RequestId, const RequestLine&, TimePoint now);
-    void accept(RequestId, RequestLine, TimePoint now);
-    void adopt(RequestId, RequestLine, TimePoint now);
-    bool is_safe_to_retry(const ActiveRequest&) const;
-
-    void log_attempt_ended(RequestId, const ActiveRequest&, const AttemptResult&, Duration duration);
-    void close_after_last_attempt(RequestId, const ActiveRequest&, const AttemptResult&);
-
-    DueRequests find_due(TimePoint now) const;
-    void fail_overdue(RequestId, TimePoint now);
-    void drain(TimePoint now);
-    void end_unestablished(RequestId, TimePoint now);
+    RouterParts parts();
 
-    void perform(const StartAttemptAction&) override;
+    void perform(const StartAttemptAction& action) override { attempts_.start(action); }
     void perform(const RejectAction&) override;
     void perform(const FailAction&) override;
     void perform(const MigrateAction&) override;
@@ -142,9 +116,14 @@
     RequestAdopter adopter_;
     RequestCompletion completion_;
     ShutdownSchedule shutdown_;
-    SlidingWindow<5> recent_reconnects_{
-        seconds(1)};  // requests whose connections had broken or been migrated
+    // Requests whose connections had broken or been migrated.
+    SlidingWindow<5> recent_reconnects_{seconds(1)};
     PolicyActionQueue actions_;
+    AdmissionControl admission_;
+    RequestIntake intake_;
+    AttemptHandler attempts_;
+    RequestWatchdog watchdog_;
+    ShutdownDrain drain_;
     capture::RecordingPolicy policy_;  // last, as it sets its first timer while it is constructed
 };
 
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -53,8 +53,8 @@
     std::vector<Timer> take_timers() { return std::exchange(timers, {}); }
 };
 
-inline Request make_group_request(TimePoint now) {
-    Request request;
+inline RequestState make_group_request(TimePoint now) {
+    RequestState request;
     request.id = 1;
     request.deadline = now + seconds(2);
     request.group = "asked";
@@ -68,7 +68,7 @@
     ServerState& server(const ServerId& id) {
         return policy.servers_.servers_[policy.servers_.index_.at(id)];
     }
-    Request& request(RequestId id) { return policy.requests_.at(id); }
+    RequestState& request(RequestId id) { return policy.requests_.at(id); }
     bool has_request(RequestId id) { return policy.requests_.contains(id); }
 
     // A server's failures.
@@ -132,7 +132,7 @@
     double fleet_total() { return policy.gossip_.fleet_total(); }
     double fleet_trust(TimePoint now) { return policy.gossip_.trust(now); }
     bool has_room_for_group(TimePoint now, const ServerId& id) {
-        const Request request = make_group_request(now);
+        const RequestState request = make_group_request(now);
         const FleetView fleet = policy.shares_.view(now, &request);
         const PlacementContext context{
             now, request, fleet, policy.servers_.load_of(request), -1, policy.gossip_.trust(now)};
