--- a/tests/lab_experiments/test_from_capture.cpp
+++ b/tests/lab_experiments/test_from_capture.cpp
@@ -9,7 +9,7 @@
 using namespace headrouter::capture;
 
 TEST(FromCapture, ARecordedDayComesBackAsClientsAndDeeds) {
-    const Folder folder;
+    const TemporaryFolder folder;
     const FromCapture from = read_capture({folder.file(small_capture(2))});
     EXPECT_TRUE(from.servers == std::vector<std::string>({"A", "B", "C", "D", "E", "F"}));
     EXPECT_EQ(from.requests, 480);
@@ -27,7 +27,7 @@
 }
 
 TEST(FromCapture, ItPlaysClosedLoopAndWhatItRecordsReplays) {
-    const Folder folder;
+    const TemporaryFolder folder;
     const FromCapture from = read_capture({folder.file(small_capture(2))});
     Scenario w;
     simulation::Arm arm;
@@ -46,7 +46,7 @@
 }
 
 TEST(FromCapture, WhatCannotBePlayedIsRefused) {
-    const Folder folder;
+    const TemporaryFolder folder;
     Scenario w;
     w.traffic.types.clear();
     simulation::Arm arm;
--- a/tests/planted/twice.cmake
+++ b/tests/planted/twice.cmake
@@ -1,6 +1,6 @@
 # Answers a request that came up twice.
-set(PLANT_SOURCE src/router/request_router.cpp)
-set(PLANT_FROM [==[    downstream_.forward(id, line);
+set(PLANT_SOURCE src/router/attempt_handler.cpp)
+set(PLANT_FROM [==[    parts_.downstream.forward(id, line);
     const TimePoint now]==])
-set(PLANT_TO [==[    downstream_.forward(id, line), downstream_.forward(id, line);
+set(PLANT_TO [==[    parts_.downstream.forward(id, line), parts_.downstream.forward(id, line);
     const TimePoint now]==])
