--- a/src/affinity/failover_table.cpp
+++ b/src/affinity/failover_table.cpp
@@ -7,7 +7,7 @@
 constexpr Duration entry_lifetime = seconds(30);
 }  // namespace
 
-void FailoverTable::record(TimePoint now, const std::string& key, int server, bool is_parked) {
+void FailoverTable::record(TimePoint now, const std::string& key, ServerIndex server, bool is_parked) {
     if (key.empty()) return;
     while (!by_age_.empty() &&
            (by_age_.size() >= most_keys || now - by_age_.front().second > entry_lifetime)) {
--- a/src/affinity/failover_table.h
+++ b/src/affinity/failover_table.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <utility>
 
+#include "base/server_index.h"
 #include "base/time.h"
 
 namespace headrouter {
@@ -17,13 +18,13 @@
 class FailoverTable {
    public:
     struct Entry {
-        int server = -1;
+        ServerIndex server;
         TimePoint at;
         bool is_parked = false;  ///< the server may still have the connection; its packets went elsewhere
     };
 
     /// The server failed a request with this key, or (`is_parked`) lost its packets. No effect without a key.
-    void record(TimePoint now, const std::string& key, int server, bool is_parked);
+    void record(TimePoint now, const std::string& key, ServerIndex server, bool is_parked);
     /// The key's entry, null where it has none or an old one. Valid until the next record().
     const Entry* find(TimePoint now, const std::string& key) const;
 
--- a/src/affinity/group_table.cpp
+++ b/src/affinity/group_table.cpp
@@ -15,7 +15,7 @@
     return it == groups_.end() ? none : it->second;
 }
 
-int GroupTable::members_on(const std::string& group, int server) const {
+int GroupTable::members_on(const std::string& group, ServerIndex server) const {
     for (const Members& members : servers_of(group))
         if (members.server == server) return members.count;
     return 0;
@@ -34,7 +34,7 @@
     return (connections_ * (connections_ - 1) / 2 + least_pairs) / (pairs_ + 1);
 }
 
-void GroupTable::change(const std::string& group, int server, int by) {
+void GroupTable::change(const std::string& group, ServerIndex server, int by) {
     std::vector<Members>& servers = groups_[group];
     int others = std::min(by, 0);
     for (const Members& members : servers) others += members.count;
--- /dev/null
+++ b/src/base/server_index.h
@@ -0,0 +1,70 @@
+/// A server as one balancer numbers it.
+#pragma once
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <iterator>
+#include <type_traits>
+
+namespace headrouter {
+
+/// The index of a server at this balancer, in the order in which its endpoint lists first named the servers.
+/// Servers are never removed, so an index holds for the life of the process. Another balancer numbers them
+/// otherwise: messages name servers by their ids. "No server" is an empty std::optional<ServerIndex>.
+class ServerIndex {
+   public:
+    /// The first server's; for containers, which overwrite it.
+    constexpr ServerIndex() = default;
+    template <class Integer>
+    requires std::is_integral_v<Integer>
+    constexpr explicit ServerIndex(Integer value) : value_(static_cast<uint32_t>(value)) {}
+
+    [[nodiscard]] constexpr size_t value() const { return value_; }
+    [[nodiscard]] constexpr int to_int() const { return static_cast<int>(value_); }
+
+    // NOLINTNEXTLINE(modernize-use-nullptr): false report on a defaulted <=>, clang-tidy 14.
+    constexpr auto operator<=>(const ServerIndex&) const = default;
+
+   private:
+    uint32_t value_ = 0;
+};
+
+/// The indexes of the first so many servers, for a range-based for.
+class ServerIndexRange {
+   public:
+    class Iterator {
+       public:
+        using iterator_category = std::input_iterator_tag;
+        using value_type = ServerIndex;
+        using difference_type = std::ptrdiff_t;
+        using pointer = const ServerIndex*;
+        using reference = ServerIndex;
+
+        constexpr explicit Iterator(size_t at) : at_(at) {}
+        constexpr ServerIndex operator*() const { return ServerIndex{at_}; }
+        constexpr Iterator& operator++() {
+            ++at_;
+            return *this;
+        }
+        constexpr bool operator==(const Iterator& other) const { return at_ == other.at_; }
+        constexpr bool operator!=(const Iterator& other) const { return at_ != other.at_; }
+
+       private:
+        size_t at_;
+    };
+
+    constexpr explicit ServerIndexRange(size_t count) : count_(count) {}
+    [[nodiscard]] constexpr Iterator begin() const { return Iterator{0}; }
+    [[nodiscard]] constexpr Iterator end() const { return Iterator{count_}; }
+
+   private:
+    size_t count_;
+};
+
+}  // namespace headrouter
+
+template <>
+struct std::hash<headrouter::ServerIndex> {
+    size_t operator()(headrouter::ServerIndex server) const noexcept { return server.value(); }
+};
--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -17,6 +17,7 @@
 #include <vector>
 
 #include "base/parse_error.h"
+#include "base/server_index.h"
 #include "base/time.h"
 
 namespace headrouter::capture {
@@ -111,18 +112,36 @@
     if (has) visit(a, *o);
 }
 
-/// A value that the bytes hold as a plain number, any negative one for none.
+template <class A>
+void visit(A& a, ServerIndex& server) {
+    int index = server.to_int();
+    visit(a, index);
+    if constexpr (!A::writes) server = ServerIndex{index};
+}
+
+/// A number that there may be none of, which the bytes hold as a plain number, -1 for none. Any other
+/// negative integer is read as none too.
 template <class A, class T>
 void visit_negative_for_none(A& a, std::optional<T>& value) {
-    T number = value.value_or(T{-1});
-    visit(a, number);
+    using Plain = std::conditional_t<std::is_floating_point_v<T>, double, int64_t>;
+    constexpr Plain none = -1;
+    Plain plain = none;
+    if constexpr (std::is_same_v<T, ServerIndex>) {
+        if (value) plain = value->to_int();
+    } else {
+        if (value) plain = static_cast<Plain>(*value);
+    }
+    visit(a, plain);
     if constexpr (!A::writes) {
-        if (number >= T{0})
-            value = number;
-        else
-            value.reset();
+        const bool is_none = std::is_floating_point_v<T> ? plain == none : plain < 0;
+        value.reset();
+        if (!is_none) value = static_cast<T>(plain);
     }
 }
+template <class A>
+void visit(A& a, std::optional<ServerIndex>& server) {
+    visit_negative_for_none(a, server);
+}
 
 template <class A, class T, class U>
 void visit(A& a, std::pair<T, U>& p) {
--- a/src/capture/explain.cpp
+++ b/src/capture/explain.cpp
@@ -32,19 +32,19 @@
                   "ceiling", "distrust", "warm", "calls", "");
     o << line;
     const ServerTable& servers = b.servers_;
-    for (int k = 0; k < servers.size(); ++k) {
-        const ServerState& s = servers[k];
+    for (const ServerIndex index : servers.indexes()) {
+        const ServerState& s = servers[index];
         const EndpointState state = s.endpoint.state;
         if (state == EndpointState::removed && s.connections.empty()) continue;
         const FleetView::DegradedServer* degraded =
-            s.degraded_index >= 0 ? &fleet.degraded[s.degraded_index] : nullptr;
+            s.degraded_index ? &fleet.degraded[*s.degraded_index] : nullptr;
         const double load = servers.load_on(s);
         const double load_limit = degraded ? degraded->load_limit : LoadLimit::unlimited;
         std::string why;
         const auto add = [&](const char* w) { why += (why.empty() ? "" : ", ") + std::string(w); };
         if (state == EndpointState::draining) add("drains");
         if (state == EndpointState::removed) add("gone from the list");
-        if (k == fleet.excluded_server) add("its last leg failed here");
+        if (index == fleet.excluded_server) add("its last leg failed here");
         if (s.outliers.is_ejected(now)) add("out of the shares for terms");
         if (s.outliers.is_in_backoff(now)) add("skipped after failures");
         if (s.outliers.is_failing() && s.pending_attempts > 0) add("failing: one leg at a time");
@@ -54,7 +54,7 @@
         char limit[24] = "-";
         if (load_limit < 1e11) std::snprintf(limit, sizeof limit, "%.2f", load_limit);
         std::snprintf(line, sizeof line, "  %-14s %8.2f %8.2f %9s %9.2f %7.2f %6zu  ",
-                      s.endpoint.server.c_str(), load, b.shares_.share(fleet, k), limit,
+                      s.endpoint.server.c_str(), load, b.shares_.share(fleet, index), limit,
                       s.outliers.failure_penalty(now), servers.slow_start_factor(now, s),
                       s.connections.size());
         o << line << why << "\n";
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -164,8 +164,8 @@
     visit(a, server.slow_start.started_);
     visit(a, server.connections);
     visit(a, server.load);
-    visit(a, server.degraded_index);
-    visit(a, server.named_in_update);
+    capture::visit_negative_for_none(a, server.degraded_index);
+    capture::visit_negative_for_none(a, server.named_in_update);
     visit(a, server.pending_attempts);
     visit(a, server.protected_connections);
     visit(a, outliers.failure_penalty_);
--- a/src/fleet_load/fleet_load_aggregator.cpp
+++ b/src/fleet_load/fleet_load_aggregator.cpp
@@ -383,7 +383,7 @@
     return std::clamp((rounds_until_stale - rounds) / (rounds_until_stale - rounds_fresh), 0.0, 1.0);
 }
 
-std::optional<int> FleetLoadAggregator::pick(TimePoint now, double random) {
+std::optional<ServerIndex> FleetLoadAggregator::pick(TimePoint now, double random) {
     if (random >= freshness(now) || picked_ > 1 + 2 * usually_picked_) return std::nullopt;
     double all_weight = 0;
     double all_headroom = 0;
--- a/src/fleet_load/fleet_load_aggregator.h
+++ b/src/fleet_load/fleet_load_aggregator.h
@@ -14,6 +14,7 @@
 #include <string>
 #include <vector>
 
+#include "base/server_index.h"
 #include "base/sliding_window.h"
 #include "base/time.h"
 #include "gossip/gossip_message.h"
@@ -27,7 +28,7 @@
 
 /// A server to which this balancer may send connections.
 struct EligibleServer {
-    int server;  ///< its index at this balancer
+    ServerIndex server;
     gossip::ShortServerId short_id;
     double weight;
 };
@@ -61,7 +62,7 @@
     /// balancer's own share is to decide: without fresh headroom, and beyond twice the connections that
     /// usually come between two headroom messages, since headroom is for what usually comes, and a burst at
     /// many balancers at once would overfill the servers that have some. `random` lies between 0 and 1.
-    [[nodiscard]] std::optional<int> pick(TimePoint now, double random);
+    [[nodiscard]] std::optional<ServerIndex> pick(TimePoint now, double random);
 
     /// The weight that the headroom deserves: 1 while it is fresh, falling to 0.
     [[nodiscard]] double freshness(TimePoint now) const;
--- a/src/fleet_load/rendezvous_ranking.cpp
+++ b/src/fleet_load/rendezvous_ranking.cpp
@@ -13,11 +13,11 @@
     std::vector<double>& scores = ranking.scores;
     while (scores.size() < servers.size()) {
         const WeightedServer& server = servers[scores.size()];
-        ranking.order.push_back(static_cast<int>(scores.size()));
+        ranking.order.push_back(ServerIndex{scores.size()});
         scores.push_back(-std::log(Pcg32(key_hash, server.hash).uniform()) / server.weight);
     }
     std::sort(ranking.order.begin(), ranking.order.end(),
-              [&](int a, int b) { return scores[static_cast<size_t>(a)] < scores[static_cast<size_t>(b)]; });
+              [&](ServerIndex a, ServerIndex b) { return ranking.score_of(a) < ranking.score_of(b); });
 }
 
 }  // namespace headrouter::fleet_load
--- a/src/fleet_load/rendezvous_ranking.h
+++ b/src/fleet_load/rendezvous_ranking.h
@@ -3,14 +3,18 @@
 #include <cstdint>
 #include <vector>
 
+#include "base/server_index.h"
 #include "fleet_load/subset_order.h"
 
 namespace headrouter::fleet_load {
 
-/// The servers, by index, as one key prefers them.
+/// The servers as one key prefers them.
 struct RendezvousRanking {
-    std::vector<double> scores;  ///< by server: an exponential draw over its weight; the lowest is preferred
-    std::vector<int> order;      ///< servers by rising score
+    /// By server index: an exponential draw over the server's weight; the lowest is preferred.
+    std::vector<double> scores;
+    std::vector<ServerIndex> order;  ///< by rising score
+
+    [[nodiscard]] double score_of(ServerIndex server) const { return scores[server.value()]; }
 };
 
 /// Extends a ranking, which may be empty, to all of `servers`; scores it has already stay as they are. The
--- a/src/gossip/gossip_rounds.cpp
+++ b/src/gossip/gossip_rounds.cpp
@@ -26,21 +26,19 @@
 
 /// What each server's load is by a sum: that of its row, else its part of the load that has no row.
 std::vector<double> reported_loads(const RoundSum& sum, const std::vector<ServerEstimate>& servers) {
-    constexpr double no_row = -1;
-    std::vector<double> loads(servers.size(), no_row);
     double load_without_row = sum.total_load;
     double weight_without_row = active_weight(servers);
     for (const IndexedLoad& row : sum.loads) {
-        const auto server = static_cast<size_t>(row.server);
-        loads[server] = row.load;
+        const ServerEstimate& server = servers[row.server.value()];
         load_without_row -= row.load;
-        if (servers[server].is_active) weight_without_row -= servers[server].weight;
-    }
-    for (size_t k = 0; k < servers.size(); ++k) {
-        if (loads[k] >= 0) continue;
-        loads[k] =
-            std::max(0.0, load_without_row) * servers[k].weight / std::max(weight_without_row, least_weight);
+        if (server.is_active) weight_without_row -= server.weight;
     }
+    std::vector<double> loads;
+    loads.reserve(servers.size());
+    for (const ServerEstimate& server : servers)
+        loads.push_back(std::max(0.0, load_without_row) * server.weight /
+                        std::max(weight_without_row, least_weight));
+    for (const IndexedLoad& row : sum.loads) loads[row.server.value()] = row.load;
     return loads;
 }
 
--- a/src/gossip/group_locations.cpp
+++ b/src/gossip/group_locations.cpp
@@ -14,7 +14,7 @@
 constexpr size_t max_locations_per_group = 8;
 }  // namespace
 
-GroupLocation& GroupLocations::find_or_add(uint32_t group, int server) {
+GroupLocation& GroupLocations::find_or_add(uint32_t group, ServerIndex server) {
     if (groups_.size() >= max_groups && !groups_.contains(group)) groups_.clear();
     std::vector<GroupLocation>& locations = groups_[group];
     for (GroupLocation& location : locations)
@@ -29,7 +29,7 @@
     return it == groups_.end() ? none : it->second;
 }
 
-void GroupLocations::remove_server(int server) {
+void GroupLocations::remove_server(ServerIndex server) {
     for (auto& [group, locations] : groups_)
         std::erase_if(locations, [&](const GroupLocation& location) { return location.server == server; });
 }
--- a/src/gossip/group_locations.h
+++ b/src/gossip/group_locations.h
@@ -4,6 +4,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/server_index.h"
 #include "base/time.h"
 
 namespace headrouter {
@@ -12,9 +13,9 @@
 
 namespace gossip {
 
-/// A server, by its index at this balancer, that holds members of a group.
+/// A server that holds members of a group.
 struct GroupLocation {
-    int server = -1;
+    ServerIndex server;
     TimePoint received_at;   ///< last announced by another balancer; zero: never
     TimePoint announced_at;  ///< last announced by any balancer, this one included
     bool announcement_pending = false;
@@ -23,7 +24,7 @@
 /// A group, by the hash of its name, with a member on a server.
 struct GroupPlacement {
     uint32_t group = 0;
-    int server = -1;
+    ServerIndex server;
 };
 
 /// The locations known of each group, bounded in groups and in locations of each. Not thread-safe.
@@ -31,13 +32,13 @@
    public:
     /// The location of the pair, made where there is none yet; the group's oldest makes way. The reference is
     /// valid until the next call.
-    GroupLocation& find_or_add(uint32_t group, int server);
+    GroupLocation& find_or_add(uint32_t group, ServerIndex server);
 
     /// The locations of a group, the oldest first; valid until the next change.
     [[nodiscard]] const std::vector<GroupLocation>& locations_of(uint32_t group) const;
 
     /// Forgets all that is known of a server, in every group.
-    void remove_server(int server);
+    void remove_server(ServerIndex server);
 
     /// Takes those of the pending placements that are to be announced now: as many as fit a message and as
     /// `credit` pays for, at `cost` each, both in bytes. Those left out are announced when another member is
--- a/src/gossip/load_tally.cpp
+++ b/src/gossip/load_tally.cpp
@@ -21,7 +21,7 @@
     if (is_duplicate) return;
     total_.add(report.total_load);
     for (const IndexedLoad& row : report.loads) {
-        const auto server = static_cast<size_t>(row.server);
+        const size_t server = row.server.value();
         if (server >= servers_.size()) servers_.resize(server + 1);
         servers_[server].add(row.load);
     }
@@ -34,7 +34,7 @@
 std::vector<IndexedLoad> LoadTally::loads_above(double threshold) const {
     std::vector<IndexedLoad> loads;
     for (size_t k = 0; k < servers_.size(); ++k)
-        if (servers_[k].value() > threshold) loads.push_back({static_cast<int>(k), servers_[k].value()});
+        if (servers_[k].value() > threshold) loads.push_back({ServerIndex{k}, servers_[k].value()});
     return loads;
 }
 
--- a/src/gossip/load_tally.h
+++ b/src/gossip/load_tally.h
@@ -4,15 +4,17 @@
 #include <cstdint>
 #include <vector>
 
+#include "base/server_index.h"
+
 namespace headrouter {
 
 struct ComponentStateAccess;
 
 namespace gossip {
 
-/// The load on a server, in mean load units; the server by its index at this balancer.
+/// The load on a server, in mean load units.
 struct IndexedLoad {
-    int server;
+    ServerIndex server;
     double load;
 };
 
--- a/src/gossip/short_server_ids.h
+++ b/src/gossip/short_server_ids.h
@@ -4,6 +4,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "base/server_index.h"
 #include "gossip/gossip_message.h"
 
 namespace headrouter {
@@ -20,15 +21,14 @@
     [[nodiscard]] static ShortServerId short_id_of(const std::string& server_id);
 
     /// Adds a server with its index at this balancer; each server once.
-    void add(const std::string& server_id, int server);
+    void add(const std::string& server_id, ServerIndex server);
 
     /// The index of the server that a short id means.
-    [[nodiscard]] std::optional<int> find(ShortServerId) const;
+    [[nodiscard]] std::optional<ServerIndex> find(ShortServerId) const;
 
    private:
     friend struct headrouter::ComponentStateAccess;
-    static constexpr int ambiguous = -1;  // in place of an index
-    std::unordered_map<ShortServerId, int> servers_;
+    std::unordered_map<ShortServerId, std::optional<ServerIndex>> servers_;  // none: shared by several
 };
 
 }  // namespace gossip
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -31,8 +31,9 @@
 }
 
 void BalancingPolicy::on_request_adopted(TimePoint now, Request request, const ServerId& id) {
-    int server = servers_.find(id);
-    if (server < 0) server = endpoint_updater_.apply(now, Endpoint{id, 1, EndpointState::removed, 0, 0, {}});
+    const std::optional<ServerIndex> known = servers_.find(id);
+    const ServerIndex server =
+        known ? *known : endpoint_updater_.apply(now, Endpoint{id, 1, EndpointState::removed, 0, 0, {}});
     RequestState& adopted = add_request(std::move(request));
     adopted.attempts.push_back(Attempt{server, now, false, true});
     adopted.may_have_run = 0;
@@ -81,15 +82,15 @@
 }
 
 void BalancingPolicy::on_latency_report(TimePoint now, const ServerId& id, double millis) {
-    const int server = servers_.find(id);
-    if (server < 0) return;
+    const std::optional<ServerIndex> server = servers_.find(id);
+    if (!server) return;
     const LoadLimit::Surplus surplus =
-        servers_.record_latency(now, server, millis / 1000, message_objective_, random_);
+        servers_.record_latency(now, *server, millis / 1000, message_objective_, random_);
     if (surplus.connections > 0)
-        rebalance_.start_drain(now, server, surplus.load, surplus.connections, slow_server_drain);
+        rebalance_.start_drain(now, *server, surplus.load, surplus.connections, slow_server_drain);
 }
 
-void BalancingPolicy::migrate_next(TimePoint now, int server) {
+void BalancingPolicy::migrate_next(TimePoint now, ServerIndex server) {
     const RequestId id = rebalance_.select(now, server);
     if (!id) return;
     RequestState& request = requests_.at(id);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -73,7 +73,7 @@
     }
 
     const PolicyConfig& config() const { return config_; }
-    bool has_server(const ServerId& id) const { return servers_.find(id) >= 0; }
+    bool has_server(const ServerId& id) const { return servers_.find(id).has_value(); }
     /// Listed servers that would get no new connection now.
     int count_unselectable(TimePoint now) const { return servers_.count_unselectable(now); }
 
@@ -87,7 +87,7 @@
     RequestState* find_request(RequestId, int attempt);
     /// Begins the record of a request that has arrived.
     RequestState& add_request(Request);
-    void migrate_next(TimePoint, int server);
+    void migrate_next(TimePoint, ServerIndex server);
 
     PolicyConfig config_;
     PolicyActions& actions_;
--- a/src/policy/connection_tracker.cpp
+++ b/src/policy/connection_tracker.cpp
@@ -2,7 +2,7 @@
 
 namespace headrouter {
 
-void ConnectionTracker::add(int server, RequestState& request) {
+void ConnectionTracker::add(ServerIndex server, RequestState& request) {
     servers_.add_connection(server, request);
     if (!request.group.empty()) groups_.add(request.group, server);
 }
--- a/src/policy/connection_tracker.h
+++ b/src/policy/connection_tracker.h
@@ -25,7 +25,7 @@
           actions_(parts.actions) {}
 
     /// Counts the connection of the request's last attempt, which is at `server`.
-    void add(int server, RequestState&);
+    void add(ServerIndex server, RequestState&);
     /// Takes it away again. No effect where the request has none.
     void remove(RequestState&);
     /// Has the request's client come back, and forgets the request.
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -11,7 +11,7 @@
     servers_.end_update(now, is_whole_list);
 }
 
-int EndpointUpdater::apply(TimePoint now, const Endpoint& endpoint) {
+ServerIndex EndpointUpdater::apply(TimePoint now, const Endpoint& endpoint) {
     const ServerTable::Applied applied = servers_.apply(endpoint);
     if (applied.is_new) gossip_.add_server(endpoint.server, applied.server);
     const bool starts = applied.is_restarted || (applied.is_new && endpoint.launched);
@@ -21,7 +21,7 @@
     return applied.server;
 }
 
-void EndpointUpdater::replace_process(int server) {
+void EndpointUpdater::replace_process(ServerIndex server) {
     ServerState& state = servers_[server];
     state.outliers.on_restart();
     state.drain.forget_excess();
--- a/src/policy/endpoint_updater.h
+++ b/src/policy/endpoint_updater.h
@@ -29,11 +29,11 @@
     /// One update, `is_whole_list` unless it is a delta.
     void apply_update(TimePoint now, const std::vector<Endpoint>&, bool is_whole_list);
     /// One endpoint. Returns the server's index.
-    int apply(TimePoint now, const Endpoint&);
+    ServerIndex apply(TimePoint now, const Endpoint&);
 
    private:
     /// Forgets what was known of the server's last process, and migrates the connections that were at it.
-    void replace_process(int server);
+    void replace_process(ServerIndex server);
 
     ServerTable& servers_;
     GossipCoordinator& gossip_;
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -37,23 +37,23 @@
         weights -= server.weight;
         --fleet.open_servers;
     };
-    const auto is_candidate = [&](int k) {
-        const ServerState& server = servers_[k];
-        return server.endpoint.state == EndpointState::active && k != fleet.excluded_server &&
+    const auto is_candidate = [&](ServerIndex index) {
+        const ServerState& server = servers_[index];
+        return server.endpoint.state == EndpointState::active && index != fleet.excluded_server &&
                (!request || is_in_dedup_scope(*request, server));
     };
-    if (fleet.excluded_server >= 0 && servers_[fleet.excluded_server].endpoint.state == EndpointState::active)
-        leave_out(servers_[fleet.excluded_server]);
+    if (fleet.excluded_server && servers_[*fleet.excluded_server].endpoint.state == EndpointState::active)
+        leave_out(servers_[*fleet.excluded_server]);
     if (request && dedup_scope(*request) != DedupScope::all)
-        for (int k = 0; k < servers_.size(); ++k)
-            if (servers_[k].endpoint.state == EndpointState::active && k != fleet.excluded_server &&
-                !is_in_dedup_scope(*request, servers_[k]))
-                leave_out(servers_[k]);
-    for (const int k : servers_.degraded()) {
-        servers_[k].degraded_index = static_cast<int>(fleet.degraded.size());
-        const bool candidate = is_candidate(k);
-        if (candidate) leave_out(servers_[k]);
-        fleet.degraded.push_back(view_degraded(now, k, request, candidate, panic_mode));
+        for (const ServerIndex index : servers_.indexes())
+            if (servers_[index].endpoint.state == EndpointState::active && index != fleet.excluded_server &&
+                !is_in_dedup_scope(*request, servers_[index]))
+                leave_out(servers_[index]);
+    for (const ServerIndex index : servers_.degraded()) {
+        servers_[index].degraded_index = fleet.degraded.size();
+        const bool candidate = is_candidate(index);
+        if (candidate) leave_out(servers_[index]);
+        fleet.degraded.push_back(view_degraded(now, index, request, candidate, panic_mode));
         weights += fleet.degraded.back().share;
         fleet.open_servers += fleet.degraded.back().is_open;
     }
@@ -61,9 +61,10 @@
     return fleet;
 }
 
-FleetView::DegradedServer FairShares::view_degraded(TimePoint now, int k, const RequestState* request,
-                                                    bool is_candidate, bool panic_mode) {
-    ServerState& server = servers_[k];
+FleetView::DegradedServer FairShares::view_degraded(TimePoint now, ServerIndex index,
+                                                    const RequestState* request, bool is_candidate,
+                                                    bool panic_mode) {
+    ServerState& server = servers_[index];
     const bool is_counted = is_candidate && (panic_mode || ServerTable::is_selectable(now, server));
     const bool is_open =
         is_counted && (!request || servers_.has_warmup_permit(now, server, servers_.load_of(*request)));
@@ -71,7 +72,7 @@
     if (is_counted)
         weight = server.weight * servers_.slow_start_factor(now, server) * server.outliers.trust(now);
     const double limit = servers_.rounded_load_limit(now, server);
-    return {k, servers_.load_on(server), weight, limit, is_counted, is_open};
+    return {index, servers_.load_on(server), weight, limit, is_counted, is_open};
 }
 
 void FairShares::distribute(FleetView& fleet, double weights) {
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -1,6 +1,7 @@
 // Fair shares (design 1): what part of this balancer's load each server should have, at one moment and for
 // one request.
 #pragma once
+#include <optional>
 #include <vector>
 
 #include "policy/server_table.h"
@@ -11,18 +12,18 @@
 struct FleetView {
     /// A server that needs a look of its own.
     struct DegradedServer {
-        int server;
+        ServerIndex server;
         double load, share, load_limit;
         bool is_counted;  ///< has a share
         bool is_open;     ///< may take this request
     };
-    double total_load = 0;        ///< this balancer's, the request's counted in
-    double share_per_weight = 0;  ///< of a sound server
-    int open_servers = 0;         ///< that may take the request
-    int slow_servers = 0;         ///< of these, at their load limits
-    int excluded_server = -1;     ///< where the request's last attempt failed
-    double slow_part = 0;         ///< of the servers whose latency this balancer hears of
-    bool is_mostly_slow = false;  ///< much of the fleet is slow
+    double total_load = 0;                       ///< this balancer's, the request's counted in
+    double share_per_weight = 0;                 ///< of a sound server
+    int open_servers = 0;                        ///< that may take the request
+    int slow_servers = 0;                        ///< of these, at their load limits
+    std::optional<ServerIndex> excluded_server;  ///< where the request's last attempt failed
+    double slow_part = 0;                        ///< of the servers whose latency this balancer hears of
+    bool is_mostly_slow = false;                 ///< much of the fleet is slow
     std::vector<DegradedServer> degraded;
 };
 
@@ -37,9 +38,9 @@
     /// servers are degraded, and uses up warm-up permits that have lapsed.
     FleetView view(TimePoint now, const RequestState* request);
     /// The server's share in that view, as long as it is the latest.
-    double share(const FleetView& fleet, int server) const {
+    double share(const FleetView& fleet, ServerIndex server) const {
         const ServerState& state = servers_[server];
-        if (state.degraded_index >= 0) return fleet.degraded[state.degraded_index].share;
+        if (state.degraded_index) return fleet.degraded[*state.degraded_index].share;
         return fleet.share_per_weight * state.weight;
     }
     /// Whether the request may run at the server, if a first attempt of it may have run elsewhere.
@@ -58,7 +59,7 @@
     /// sums.
     FleetView view_in_mode(TimePoint now, const RequestState* request, bool panic_mode);
     /// `share` is the server's weight here; distribute() makes the share of it.
-    FleetView::DegradedServer view_degraded(TimePoint now, int k, const RequestState* request,
+    FleetView::DegradedServer view_degraded(TimePoint now, ServerIndex index, const RequestState* request,
                                             bool is_candidate, bool panic_mode);
     /// Weighted shares, none above its load limit; what a limit keeps off goes to the others by weight.
     static void distribute(FleetView&, double weights);
--- a/src/policy/gossip_coordinator.cpp
+++ b/src/policy/gossip_coordinator.cpp
@@ -59,9 +59,9 @@
         estimates.push_back({ServerTable::listed_weight(server), is_active, server.fleet_load});
     }
     if (!rounds_.on_sum(now, sum, config_.replica_count, servers_.total_load(), estimates)) return;
-    for (int k = 0; k < servers_.size(); ++k) {
-        servers_[k].fleet_load = estimates[static_cast<size_t>(k)].pooled_load;
-        servers_[k].own_load_then = servers_.load_on(servers_[k]);
+    for (const ServerIndex index : servers_.indexes()) {
+        servers_[index].fleet_load = estimates[index.value()].pooled_load;
+        servers_[index].own_load_then = servers_.load_on(servers_[index]);
     }
 }
 
@@ -71,14 +71,14 @@
                        timer_token(TimerKind::publish_headroom));
     std::vector<gossip::IndexedLoad> own;
     std::vector<fleet_load::EligibleServer> eligible;
-    for (int k = 0; k < servers_.size(); ++k) {
-        const ServerState& server = servers_[k];
+    for (const ServerIndex index : servers_.indexes()) {
+        const ServerState& server = servers_[index];
         const gossip::ShortServerId short_id = short_id_of(server);
-        if (server.endpoint.state != EndpointState::active || short_ids_.find(short_id) != k) continue;
-        eligible.push_back({k, short_id, ServerTable::listed_weight(server)});
+        if (server.endpoint.state != EndpointState::active || short_ids_.find(short_id) != index) continue;
+        eligible.push_back({index, short_id, ServerTable::listed_weight(server)});
         const bool troubled = is_troubled(now, server);
         if (troubled || !server.connections.empty())
-            own.push_back({k, troubled ? gossip::degraded_marker : servers_.load_on(server)});
+            own.push_back({index, troubled ? gossip::degraded_marker : servers_.load_on(server)});
     }
     for (const auto& message : aggregator_.tick(now, now + config_.wall_clock_offset, own, eligible))
         actions_.send_gossip(message.replica_index, message.bytes);
@@ -96,7 +96,7 @@
     const std::optional<gossip::Message> message = gossip::parse_message(bytes);
     if (!message) return false;
     for (const gossip::GroupLocationRow& row : message->locations)
-        if (const std::optional<int> server = short_ids_.find(row.server))
+        if (const std::optional<ServerIndex> server = short_ids_.find(row.server))
             locations_.find_or_add(row.group, *server) = {*server, now, now, false};
     switch (message->kind) {
         case gossip::MessageKind::group_locations: break;
@@ -117,7 +117,7 @@
     if (round > next_round) return;
     std::vector<gossip::IndexedLoad> loads;
     for (const gossip::ServerLoad& row : message.loads)
-        if (const std::optional<int> server = short_ids_.find(row.server))
+        if (const std::optional<ServerIndex> server = short_ids_.find(row.server))
             loads.push_back({*server, row.load});
     const int reporter = reporter_of(round);
     if (message.kind == gossip::MessageKind::round_counts && is_own(reporter))
@@ -126,7 +126,7 @@
         on_round_sum(now, {round, message.reporter_count, message.total_load, loads});
 }
 
-void GossipCoordinator::on_group_placed(TimePoint now, const std::string& group, int server) {
+void GossipCoordinator::on_group_placed(TimePoint now, const std::string& group, ServerIndex server) {
     if (!config_.gossip_enabled || group.empty()) return;
     gossip::GroupLocation& location = locations_.find_or_add(short_hash(group), server);
     if (location.announcement_pending || now - location.announced_at < location_republished) return;
@@ -139,9 +139,9 @@
     actions_.set_timer(now + location_within * random_.uniform(), timer_token(TimerKind::publish_locations));
 }
 
-bool GossipCoordinator::is_first_choice(TimePoint now, const std::string& group, int server) {
-    for (const int k : rankings_.of(group, servers_).order)
-        if (ServerTable::is_selectable(now, servers_[k])) return k == server;
+bool GossipCoordinator::is_first_choice(TimePoint now, const std::string& group, ServerIndex server) {
+    for (const ServerIndex index : rankings_.of(group, servers_).order)
+        if (ServerTable::is_selectable(now, servers_[index])) return index == server;
     return false;
 }
 
--- a/src/policy/gossip_coordinator.h
+++ b/src/policy/gossip_coordinator.h
@@ -42,9 +42,9 @@
     /// The configuration was set or has changed.
     void configure();
     /// A server was listed for the first time.
-    void add_server(const ServerId& id, int server) { short_ids_.add(id, server); }
+    void add_server(const ServerId& id, ServerIndex server) { short_ids_.add(id, server); }
     /// Another process has taken the server's place: it has no groups.
-    void forget_locations(int server) { locations_.remove_server(server); }
+    void forget_locations(ServerIndex server) { locations_.remove_server(server); }
 
     // Timers.
     /// The source's supernodes know all counts. Where messages are allowed, each balancer sends its counts
@@ -68,7 +68,7 @@
     /// balancer with a handful of connections has none of most groups, and would open them once more. The
     /// first to place a member on a server tells all. The first choice of a group's ranking need not be told,
     /// as it is one of everyone's preferred servers.
-    void on_group_placed(TimePoint now, const std::string& group, int server);
+    void on_group_placed(TimePoint now, const std::string& group, ServerIndex server);
 
     /// Trust in the published load of the fleet, 0 (none or old) to 1.
     double trust(TimePoint now) const { return config_.gossip_enabled ? rounds_.freshness(now) : 0; }
@@ -76,7 +76,7 @@
     double fleet_total() const { return rounds_.total_load(); }
     /// The server that the next connection should go to by its headroom over all balancers, if any. `random`
     /// lies between 0 and 1.
-    std::optional<int> pick_by_headroom(TimePoint now, double random) {
+    std::optional<ServerIndex> pick_by_headroom(TimePoint now, double random) {
         return aggregator_.pick(now, random);
     }
     /// Calls `visit(server)` for each server that has members of the group at other replicas.
@@ -121,8 +121,9 @@
     bool is_own(int replica) const { return replica == static_cast<int>(config_.replica_index); }
     std::vector<gossip::IndexedLoad> own_loads() const {
         std::vector<gossip::IndexedLoad> rows;
-        for (int k = 0; k < servers_.size(); ++k)
-            if (!servers_[k].connections.empty()) rows.push_back({k, servers_.load_on(servers_[k])});
+        for (const ServerIndex index : servers_.indexes())
+            if (!servers_[index].connections.empty())
+                rows.push_back({index, servers_.load_on(servers_[index])});
         return rows;
     }
     std::string encode(gossip::MessageKind, const gossip::RoundSum&) const;
@@ -131,7 +132,7 @@
     void on_round_loads(TimePoint, int replica, const gossip::Message&);
     /// Whether the server was met failing, or slow at the load that this balancer has there.
     bool is_troubled(TimePoint, const ServerState&) const;
-    bool is_first_choice(TimePoint, const std::string& group, int server);
+    bool is_first_choice(TimePoint, const std::string& group, ServerIndex server);
 
     const PolicyConfig& config_;
     ServerTable& servers_;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -1,5 +1,6 @@
 // Placement (design 3): which server gets a request's next attempt.
 #pragma once
+#include <optional>
 #include <string>
 
 #include "affinity/group_table.h"
@@ -15,8 +16,9 @@
     TimePoint now;
     const RequestState& request;
     const FleetView& fleet;
-    double load = 0;          ///< of the request, in mean load units
-    int failed_server = -1;   ///< that failed the request's key, if it comes back in the pause; else negative
+    double load = 0;  ///< of the request, in mean load units
+    /// Failed the request's key a moment ago, if the request comes back in the pause.
+    std::optional<ServerIndex> failed_server;
     double gossip_trust = 0;  ///< in the fleet's load as published, 0 to 1
 };
 
@@ -42,17 +44,17 @@
           gossip_(parts.gossip),
           random_(parts.random) {}
 
-    /// A cold server for which this balancer has a warm-up permit, to be used before all others; or negative.
+    /// A cold server for which this balancer has a warm-up permit, to be used before all others; if any.
     /// Where shares are far below one connection, permits for a cold server go round among hundreds of
     /// balancers. Who has one goes there first: were the server drawn like all others then, nobody would warm
     /// it up.
-    int choose_cold(const PlacementContext&) const;
-    /// Any server but a cold one by its permit alone; negative where the request is better rejected. Where
+    std::optional<ServerIndex> choose_cold(const PlacementContext&) const;
+    /// Any server but a cold one by its permit alone; none where the request is better rejected. Where
     /// packets pass through, a key is ranked like a group, so that another balancer sends them to the same
     /// server.
-    int choose(const PlacementContext&);
+    std::optional<ServerIndex> choose(const PlacementContext&);
     /// Whether the server has room for the request; `in_group`: with a group's members, which go further.
-    bool has_room(const PlacementContext&, int server, bool in_group) const;
+    bool has_room(const PlacementContext&, ServerIndex server, bool in_group) const;
 
    private:
     friend struct PolicyInspector;
@@ -76,38 +78,42 @@
     };
     /// Random among the servers below share, else the least over. A share under one is below it for a whole
     /// connection by chance: the subset draw keeps the sum over all balancers right.
-    int choose_at_random(const PlacementContext&);
-    int choose_by_headroom(const PlacementContext&);
+    std::optional<ServerIndex> choose_at_random(const PlacementContext&);
+    std::optional<ServerIndex> choose_by_headroom(const PlacementContext&);
     /// Members of a group share work on the server that has them, and balancers share nothing, so a group's
     /// ranking is drawn from its name: every balancer draws the same. By preference: servers that have the
     /// group, as its work is there anyway; its preferred servers; any other below share.
-    int choose_for_group(const PlacementContext&, const std::string& ranking_name);
+    std::optional<ServerIndex> choose_for_group(const PlacementContext&, const std::string& ranking_name);
     /// The ranking's first servers whose shares hold the group's part of this balancer's load. A balancer
     /// that has few connections cannot tell what part of all belongs to a group.
-    int choose_preferred(const PlacementContext&, const fleet_load::RendezvousRanking&,
-                         PreferredServers&) const;
+    std::optional<ServerIndex> choose_preferred(const PlacementContext&, const fleet_load::RendezvousRanking&,
+                                                PreferredServers&) const;
     /// The best ranked of the servers that have the group's members; only near ones unless `all_zones`.
-    int choose_with_members(const PlacementContext&, const fleet_load::RendezvousRanking&,
-                            bool all_zones) const;
+    std::optional<ServerIndex> choose_with_members(const PlacementContext&,
+                                                   const fleet_load::RendezvousRanking&,
+                                                   bool all_zones) const;
     /// Where every server is slow already: none, as more would serve nobody. Where messages take long by
     /// themselves a server reports latencies that its load has no part in; it comes last, but before a reject
     /// (wide, silent days).
-    int choose_least_over_share(const PlacementContext&, const fleet_load::RendezvousRanking*) const;
+    std::optional<ServerIndex> choose_least_over_share(const PlacementContext&,
+                                                       const fleet_load::RendezvousRanking*) const;
     /// By what all balancers have there, as far as that is trusted, and by the own counts.
-    bool has_room_in_fleet(const PlacementContext&, int server, double share) const;
-    bool is_open(const PlacementContext&, int server) const;
-    bool is_slow(const PlacementContext& context, int server) const {
+    bool has_room_in_fleet(const PlacementContext&, ServerIndex server, double share) const;
+    bool is_open(const PlacementContext&, ServerIndex server) const;
+    bool is_slow(const PlacementContext& context, ServerIndex server) const {
         const ServerState& state = servers_[server];
-        if (state.degraded_index < 0) return false;
+        if (!state.degraded_index) return false;
         return servers_.load_on(state) + context.load >
-               context.fleet.degraded[state.degraded_index].load_limit;
+               context.fleet.degraded[*state.degraded_index].load_limit;
     }
     /// A server on which this balancer has nothing reports nothing to it. It is as likely slow as those that
     /// it hears of: otherwise, with hundreds of balancers, whatever one migrates off another brings back
     /// (i61ff1f).
-    bool is_probably_slow(const PlacementContext&, int server);
+    bool is_probably_slow(const PlacementContext&, ServerIndex server);
     /// Of two servers, the one with the lower draw for its weight is this balancer's before the other.
-    double subset_rank(int server) const { return servers_[server].subset_draw / servers_[server].weight; }
+    double subset_rank(ServerIndex server) const {
+        return servers_[server].subset_draw / servers_[server].weight;
+    }
 
     const PolicyConfig& config_;
     const ServerTable& servers_;
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -20,9 +20,9 @@
 
 void RebalanceCycle::eject_outliers(TimePoint now) {
     bool any_ejected = false;
-    for (int k = 0; k < servers_.size(); ++k) {
-        if (!servers_[k].outliers.end_cycle(now)) continue;
-        servers_.mark_degraded(k);
+    for (const ServerIndex index : servers_.indexes()) {
+        if (!servers_[index].outliers.end_cycle(now)) continue;
+        servers_.mark_degraded(index);
         any_ejected = true;
     }
     if (!any_ejected) return;
@@ -35,13 +35,13 @@
 
 void RebalanceCycle::plan_migrations(TimePoint now) {
     const FleetView fleet = shares_.view(now, nullptr);
-    for (int k = 0; k < servers_.size(); ++k) {
-        ServerState& server = servers_[k];
-        const bool has_share = server.degraded_index >= 0 ? fleet.degraded[server.degraded_index].is_counted
-                                                          : server.endpoint.state == EndpointState::active;
+    for (const ServerIndex index : servers_.indexes()) {
+        ServerState& server = servers_[index];
+        const bool has_share = server.degraded_index ? fleet.degraded[*server.degraded_index].is_counted
+                                                     : server.endpoint.state == EndpointState::active;
         if (!has_share) continue;
         const double load = servers_.load_on(server);
-        const double share = shares_.share(fleet, k);
+        const double share = shares_.share(fleet, index);
         const double excess = load - share;
         const bool is_balanced = load <= share * saturation_band;
         if (is_balanced) server.drain.set_protected_first(true);  // their protection has ended
@@ -49,24 +49,25 @@
         const double largest = server.drain.record_excess(now, excess);
         const int migrations = std::max(
             fewest_migrations, static_cast<int>(std::ceil(largest / cycle_clock::cycles_remembered)));
-        start_drain(now, k, std::min<double>(migrations, excess), migrations,
+        start_drain(now, index, std::min<double>(migrations, excess), migrations,
                     cycle_clock::active_time - drain_grace);
     }
 }
 
-void RebalanceCycle::start_drain(TimePoint now, int server, double load, int steps, Duration duration) {
+void RebalanceCycle::start_drain(TimePoint now, ServerIndex server, double load, int steps,
+                                 Duration duration) {
     const auto first = servers_[server].drain.start(now, load, steps, duration, random_);
     if (first) actions_.set_timer(*first, timer_token(TimerKind::migrate_next, server));
 }
 
-RequestId RebalanceCycle::select(TimePoint now, int server) {
-    if (server < 0 || server >= servers_.size()) return 0;
+RequestId RebalanceCycle::select(TimePoint now, ServerIndex server) {
+    if (!servers_.contains(server)) return 0;
     ServerState& state = servers_[server];
     if (!state.drain.begin_step() || state.connections.empty()) return 0;
     return select_migration(now, state);
 }
 
-void RebalanceCycle::on_migrated(TimePoint now, int server, double load) {
+void RebalanceCycle::on_migrated(TimePoint now, ServerIndex server, double load) {
     const auto next = servers_[server].drain.end_step(now, load);
     if (next) actions_.set_timer(*next, timer_token(TimerKind::migrate_next, server));
 }
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -43,12 +43,12 @@
     /// Finds the servers above their share and starts to drain their surplus.
     void plan_migrations(TimePoint now);
     /// Migrates `load` off a server in about so many steps within `duration`.
-    void start_drain(TimePoint now, int server, double load, int steps, Duration duration);
+    void start_drain(TimePoint now, ServerIndex server, double load, int steps, Duration duration);
 
     /// The next connection to migrate off the server; zero: none, and the drain has ended.
-    RequestId select(TimePoint now, int server);
+    RequestId select(TimePoint now, ServerIndex server);
     /// The selected connection, of that load, was migrated.
-    void on_migrated(TimePoint now, int server, double load);
+    void on_migrated(TimePoint now, ServerIndex server, double load);
 
    private:
     friend struct PolicyInspector;
--- a/src/policy/rendezvous_rankings.cpp
+++ b/src/policy/rendezvous_rankings.cpp
@@ -9,7 +9,7 @@
     // Bounded: all are made anew when needed.
     if (rankings_.size() >= most_names && !rankings_.contains(name)) rankings_.clear();
     fleet_load::RendezvousRanking& ranking = rankings_[name];
-    if (ranking.scores.size() < static_cast<size_t>(servers.size()))
+    if (ranking.scores.size() < servers.size())
         fleet_load::extend_ranking(ranking, hash_of(name), servers.order_entries());
     return ranking;
 }
--- a/src/policy/request_pipeline.cpp
+++ b/src/policy/request_pipeline.cpp
@@ -91,18 +91,19 @@
 
     const double load = servers_.load_of(request);
     const bool is_back_in_pause = failover && !failover->is_parked && cycle_clock::is_paused(now);
-    const int failed_server = is_back_in_pause ? failover->server : -1;
+    std::optional<ServerIndex> failed_server;
+    if (is_back_in_pause) failed_server = failover->server;
     const PlacementContext context{now, request, fleet, load, failed_server, gossip_.trust(now)};
-    if (const int cold = placement_.choose_cold(context); cold >= 0) return {PickResult::Complete{cold}};
+    if (const auto cold = placement_.choose_cold(context)) return {PickResult::Complete{*cold}};
 
     if (is_shed_as_reconnect(now, request, fleet)) return give_up(request);
-    const int server = placement_.choose(context);
-    if (server < 0) return give_up(request);
+    const std::optional<ServerIndex> server = placement_.choose(context);
+    if (!server) return give_up(request);
 
-    const double load_then = servers_.load_on(servers_[server]) + load;
-    const double share = shares_.share(fleet, server);
+    const double load_then = servers_.load_on(servers_[*server]) + load;
+    const double share = shares_.share(fleet, *server);
     request.is_protected = is_back_in_pause && load_then > share * RebalanceCycle::saturation_band;
-    return {PickResult::Complete{server}};
+    return {PickResult::Complete{*server}};
 }
 
 bool RequestPipeline::is_parked_at_server(TimePoint now, const RequestState& request,
@@ -127,7 +128,7 @@
     return {PickResult::Reject{random_retry_after(config_, random_)}};
 }
 
-void RequestPipeline::dispatch(TimePoint now, RequestState& request, int server) {
+void RequestPipeline::dispatch(TimePoint now, RequestState& request, ServerIndex server) {
     request.chosen_server = server;
     if (request.may_have_run) retry_budget_.on_retry(now);
     const Duration timeout = attempt_timeout(now, request);
--- a/src/policy/request_pipeline.h
+++ b/src/policy/request_pipeline.h
@@ -22,7 +22,7 @@
 struct PickResult {
     /// Its next attempt goes to this server.
     struct Complete {
-        int server;
+        ServerIndex server;
     };
     /// No server may take it: tried again while its deadline allows.
     struct Queue {};
@@ -82,7 +82,7 @@
     PickResult place(TimePoint now, RequestState&);
     /// The answer where nothing more is tried.
     PickResult give_up(const RequestState&);
-    void dispatch(TimePoint now, RequestState&, int server);
+    void dispatch(TimePoint now, RequestState&, ServerIndex server);
 
     /// A resumed stream goes to the server that still has its connection, also while that one drains.
     bool is_parked_at_server(TimePoint now, const RequestState&, const FailoverTable::Entry*) const;
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -5,13 +5,14 @@
 #include <utility>
 #include <vector>
 
+#include "base/server_index.h"
 #include "policy/types.h"
 
 namespace headrouter {
 
 /// One try of a request at one server.
 struct Attempt {
-    int server = -1;  ///< index into the policy's servers, in the order in which its lists named them
+    ServerIndex server;
     TimePoint sent;
     bool pending = false;      ///< sent, and neither established nor ended
     bool established = false;  ///< and not ended
@@ -24,12 +25,12 @@
     explicit RequestState(Request request) : Request(std::move(request)) {}
 
     std::vector<Attempt> attempts;
-    std::optional<int> may_have_run;      ///< the first attempt of which it is not known that it never ran
-    std::optional<int> chosen_server;     ///< where the pipeline has placed the latest attempt
-    std::optional<int> connection_index;  ///< among its server's connections, while it is one of them
-    std::optional<double> load;           ///< as reported, in microseconds a second
-    bool is_protected = false;            ///< recently failed over, and so not migrated again
-    bool queued = false;                  ///< waits for a server that may take it
+    std::optional<int> may_have_run;  ///< the first attempt of which it is not known that it never ran
+    std::optional<ServerIndex> chosen_server;  ///< where the pipeline has placed the latest attempt
+    std::optional<int> connection_index;       ///< among its server's connections, while it is one of them
+    std::optional<double> load;                ///< as reported, in microseconds a second
+    bool is_protected = false;                 ///< recently failed over, and so not migrated again
+    bool queued = false;                       ///< waits for a server that may take it
 };
 
 using RequestTable = std::unordered_map<RequestId, RequestState>;
--- a/src/policy/server_state.h
+++ b/src/policy/server_state.h
@@ -1,5 +1,6 @@
 // Everything that the policy knows of one server.
 #pragma once
+#include <optional>
 #include <vector>
 
 #include "load/connection_load.h"
@@ -18,8 +19,8 @@
     double weight = 1;  ///< the endpoint's, less for other zones
     std::vector<RequestId> connections;
     ConnectionLoad load;
-    int degraded_index = -1;   ///< in the latest FleetView; negative: needs no look of its own
-    int named_in_update = -1;  ///< the latest endpoint update that named it
+    std::optional<size_t> degraded_index;  ///< in the latest FleetView; none: needs no look of its own
+    std::optional<int> named_in_update;    ///< the latest endpoint update that named it
     int pending_attempts = 0;
     int protected_connections = 0;
     TimePoint established_at;  ///< the latest
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -10,9 +10,9 @@
 }
 
 ServerTable::Applied ServerTable::apply(const Endpoint& endpoint) {
-    const auto [it, is_new] = index_.emplace(endpoint.server, size());
+    const auto [it, is_new] = index_.emplace(endpoint.server, ServerIndex{size()});
     if (is_new) servers_.emplace_back().id_hash = hash_of(endpoint.server);
-    ServerState& server = servers_[static_cast<size_t>(it->second)];
+    ServerState& server = (*this)[it->second];
     const std::optional<TimePoint>& known = server.endpoint.launched;
     const bool is_later = endpoint.launched && (!known || *endpoint.launched > *known);
     server.endpoint = endpoint;
@@ -70,7 +70,7 @@
     loads_.add_report(request.type, micros);
 }
 
-void ServerTable::add_connection(int server, RequestState& request) {
+void ServerTable::add_connection(ServerIndex server, RequestState& request) {
     ServerState& state = (*this)[server];
     request.connection_index = static_cast<int>(state.connections.size());
     servers_in_use_ += state.connections.empty();
@@ -108,18 +108,18 @@
     return server.slow_start.has_permit(now, load, config_.slow_start_config(), capacity, server.id_hash);
 }
 
-void ServerTable::begin_slow_start(TimePoint now, int server, TimePoint started) {
+void ServerTable::begin_slow_start(TimePoint now, ServerIndex server, TimePoint started) {
     (*this)[server].slow_start.begin(now, started);
     (*this)[server].load_limit.lift();
     mark_degraded(server);
 }
 
-void ServerTable::record_failure(TimePoint now, int server, double penalty) {
+void ServerTable::record_failure(TimePoint now, ServerIndex server, double penalty) {
     mark_degraded(server);
     (*this)[server].outliers.on_failure(now, penalty);
 }
 
-void ServerTable::record_reset(TimePoint now, int server) {
+void ServerTable::record_reset(TimePoint now, ServerIndex server) {
     ServerState& state = (*this)[server];
     mark_degraded(server);
     if (!state.outliers.on_reset(now, state.connections.size()))
@@ -128,7 +128,7 @@
     state.load_limit.lift();
 }
 
-void ServerTable::record_established(TimePoint now, int server) {
+void ServerTable::record_established(TimePoint now, ServerIndex server) {
     ServerState& state = (*this)[server];
     --state.pending_attempts;
     if (state.slow_start.is_restart_expected()) begin_slow_start(now, server, now);
@@ -136,27 +136,27 @@
     state.outliers.on_established(now);
 }
 
-LoadLimit::Surplus ServerTable::record_latency(TimePoint now, int server, double latency, Duration objective,
-                                               Pcg32& random) {
+LoadLimit::Surplus ServerTable::record_latency(TimePoint now, ServerIndex server, double latency,
+                                               Duration objective, Pcg32& random) {
     ServerState& state = (*this)[server];
     const LoadLimit::Usage usage{load_on(state), state.connections.size(), full_share(state)};
     mark_degraded(server);
     return state.load_limit.on_latency_report(now, latency, objective, usage, random);
 }
 
-void ServerTable::mark_degraded(int server) {
+void ServerTable::mark_degraded(ServerIndex server) {
     ServerState& state = (*this)[server];
-    if (state.degraded_index >= 0) return;
-    state.degraded_index = static_cast<int>(degraded_.size());  // its place in the next view
+    if (state.degraded_index) return;
+    state.degraded_index = degraded_.size();  // its place in the next view
     degraded_.push_back(server);
 }
 
 void ServerTable::update_degraded(TimePoint now) {
-    std::erase_if(degraded_, [&](int k) {
-        ServerState& server = (*this)[k];
+    std::erase_if(degraded_, [&](ServerIndex index) {
+        ServerState& server = (*this)[index];
         const bool is_sound = server.outliers.is_clear(now) && !is_cold(now, server) &&
                               load_limit(now, server) >= LoadLimit::unlimited;
-        if (is_sound) server.degraded_index = -1;
+        if (is_sound) server.degraded_index.reset();
         return is_sound;
     });
 }
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -24,21 +24,24 @@
     explicit ServerTable(const PolicyConfig& config) : config_(config) {}
     void configure();
 
-    int size() const { return static_cast<int>(servers_.size()); }
-    ServerState& operator[](int server) { return servers_[static_cast<size_t>(server)]; }
-    const ServerState& operator[](int server) const { return servers_[static_cast<size_t>(server)]; }
+    size_t size() const { return servers_.size(); }
+    bool contains(ServerIndex server) const { return server.value() < servers_.size(); }
+    ServerIndexRange indexes() const { return ServerIndexRange{servers_.size()}; }
+    ServerState& operator[](ServerIndex server) { return servers_[server.value()]; }
+    const ServerState& operator[](ServerIndex server) const { return servers_[server.value()]; }
     std::vector<ServerState>& all() { return servers_; }
     const std::vector<ServerState>& all() const { return servers_; }
-    /// The server's index, negative for an unknown id.
-    int find(const ServerId& id) const {
+    /// The server's index; nothing for an unknown id.
+    std::optional<ServerIndex> find(const ServerId& id) const {
         const auto it = index_.find(id);
-        return it == index_.end() ? -1 : it->second;
+        if (it == index_.end()) return std::nullopt;
+        return it->second;
     }
 
     // The endpoint list.
     /// What apply() found.
     struct Applied {
-        int server;
+        ServerIndex server;
         bool is_new;
         bool is_restarted;  ///< another process under a known id, by its time of launch
     };
@@ -63,7 +66,7 @@
                 {server.id_hash, server.weight, server.endpoint.state == EndpointState::active});
         return entries;
     }
-    bool is_in_near_zone(int server) const {
+    bool is_in_near_zone(ServerIndex server) const {
         const ServerState& state = (*this)[server];
         return state.weight > near_zone_factor * listed_weight(state);
     }
@@ -82,7 +85,7 @@
     /// A connection's load was reported, in microseconds a second.
     void record_load(RequestState&, double micros);
     /// Counts the request, established or pending, as one of the server's connections.
-    void add_connection(int server, RequestState&);
+    void add_connection(ServerIndex server, RequestState&);
     /// The connection of the last attempt has ended. Returns the connection that has taken its place in the
     /// server's list, if any has.
     std::optional<RequestId> remove_connection(RequestState&);
@@ -127,23 +130,24 @@
             }));
     }
     /// The server's process started at `started`.
-    void begin_slow_start(TimePoint now, int server, TimePoint started);
+    void begin_slow_start(TimePoint now, ServerIndex server, TimePoint started);
     /// An attempt that was not established has failed; `penalty` as of OutlierDetector::on_failure.
-    void record_failure(TimePoint now, int server, double penalty);
+    void record_failure(TimePoint now, ServerIndex server, double penalty);
     /// An established connection was broken.
-    void record_reset(TimePoint now, int server);
+    void record_reset(TimePoint now, ServerIndex server);
     /// A pending attempt was established. A server that broke all it had and answers again is a new process,
     /// cold, before the list says so.
-    void record_established(TimePoint now, int server);
+    void record_established(TimePoint now, ServerIndex server);
     /// A message last took `latency` seconds at the server. Returns what is to be migrated off.
-    LoadLimit::Surplus record_latency(TimePoint now, int server, double latency, Duration objective, Pcg32&);
+    LoadLimit::Surplus record_latency(TimePoint now, ServerIndex server, double latency, Duration objective,
+                                      Pcg32&);
 
     // Degraded servers.
     /// From now on the server needs a look of its own in each view.
-    void mark_degraded(int server);
+    void mark_degraded(ServerIndex server);
     /// Forgets those that have recovered.
     void update_degraded(TimePoint now);
-    const std::vector<int>& degraded() const { return degraded_; }
+    const std::vector<ServerIndex>& degraded() const { return degraded_; }
 
    private:
     friend struct StateAccess;
@@ -164,8 +168,8 @@
 
     const PolicyConfig& config_;
     std::vector<ServerState> servers_;
-    std::unordered_map<ServerId, int> index_;  // looked up only: its order is arbitrary
-    std::vector<int> degraded_;
+    std::unordered_map<ServerId, ServerIndex> index_;  // looked up only: its order is arbitrary
+    std::vector<ServerIndex> degraded_;
     ConnectionLoad total_;
     RequestClassLoads loads_;
     double active_weight_ = 0, active_listed_weight_ = 0;  // the latter: other zones in full
--- a/src/policy/timers.h
+++ b/src/policy/timers.h
@@ -1,7 +1,10 @@
 /// The tokens of the policy's timers.
 #pragma once
+#include <cstddef>
 #include <cstdint>
 
+#include "base/server_index.h"
+
 namespace headrouter {
 
 /// What a timer is for: the lowest byte of its token.
@@ -19,12 +22,14 @@
 
 constexpr int timer_kind_bits = 8;
 
-constexpr uint64_t timer_token(TimerKind kind, int server = 0) {
-    return static_cast<uint64_t>(kind) | static_cast<uint64_t>(server) << timer_kind_bits;
+constexpr uint64_t timer_token(TimerKind kind, ServerIndex server = {}) {
+    return static_cast<uint64_t>(kind) | static_cast<uint64_t>(server.value()) << timer_kind_bits;
 }
 constexpr TimerKind kind_of_timer(uint64_t token) {
     return static_cast<TimerKind>(token & ((1U << timer_kind_bits) - 1));
 }
-constexpr int server_of_timer(uint64_t token) { return static_cast<int>(token >> timer_kind_bits); }
+constexpr ServerIndex server_of_timer(uint64_t token) {
+    return ServerIndex{static_cast<size_t>(token >> timer_kind_bits)};
+}
 
 }  // namespace headrouter
--- /dev/null
+++ b/tests/capture/test_optional_numbers.cpp
@@ -0,0 +1,63 @@
+// How captures hold numbers that there may be none of: as plain numbers, as they did before these were
+// optional.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "capture/archive.h"
+
+using namespace headrouter;
+using namespace headrouter::capture;
+
+namespace {
+
+template <class T>
+std::string bytes_of(T value) {
+    std::string bytes;
+    Out out(bytes);
+    visit(out, value);
+    return bytes;
+}
+
+template <class T>
+std::string bytes_of_optional(std::optional<T> value) {
+    std::string bytes;
+    Out out(bytes);
+    visit_negative_for_none(out, value);
+    return bytes;
+}
+
+template <class T>
+std::optional<T> read_optional(const std::string& bytes) {
+    std::optional<T> value = T(7);
+    In in(bytes);
+    visit_negative_for_none(in, value);
+    EXPECT_EQ(in.left(), 0u);
+    return value;
+}
+
+}  // namespace
+
+TEST(OptionalNumbers, NoneIsWrittenAsMinusOne) {
+    EXPECT_EQ(bytes_of_optional<int>({}), bytes_of(int64_t{-1}));
+    EXPECT_EQ(bytes_of_optional<double>({}), bytes_of(-1.0));
+    EXPECT_EQ(bytes_of(std::optional<ServerIndex>{}), bytes_of(int64_t{-1}));
+}
+
+TEST(OptionalNumbers, AnyOtherNumberIsWrittenPlain) {
+    EXPECT_EQ(bytes_of_optional<size_t>(5), bytes_of(int64_t{5}));
+    EXPECT_EQ(bytes_of_optional<double>(2.5), bytes_of(2.5));
+    EXPECT_EQ(bytes_of(std::optional<ServerIndex>{ServerIndex{3}}), bytes_of(int64_t{3}));
+    EXPECT_EQ(bytes_of(ServerIndex{3}), bytes_of(int64_t{3}));
+}
+
+TEST(OptionalNumbers, AreReadAsTheyWereWritten) {
+    EXPECT_EQ(read_optional<int>(bytes_of(int64_t{-1})), std::nullopt);
+    EXPECT_EQ(read_optional<double>(bytes_of(-1.0)), std::nullopt);
+    EXPECT_EQ(read_optional<double>(bytes_of(-1e-15)), -1e-15);
+    EXPECT_EQ(read_optional<size_t>(bytes_of(int64_t{0})), size_t{0});
+    EXPECT_EQ(read_optional<ServerIndex>(bytes_of(int64_t{-1})), std::nullopt);
+    EXPECT_EQ(read_optional<ServerIndex>(bytes_of(int64_t{9})), ServerIndex{9});
+}
--- a/tests/fleet_load/test_fleet_load_aggregator.cpp
+++ b/tests/fleet_load/test_fleet_load_aggregator.cpp
@@ -35,7 +35,8 @@
             aggregators[b].set_replica(static_cast<int>(b), balancers);
             load[b].assign(servers, 0);
         }
-        for (int k = 0; k < servers; ++k) list.push_back({k, static_cast<uint32_t>(100 + 7 * k), 1});
+        for (int k = 0; k < servers; ++k)
+            list.push_back({ServerIndex{k}, static_cast<uint32_t>(100 + 7 * k), 1});
     }
     void pass(int from, const std::vector<fleet_load::OutgoingMessage>& all) {
         for (const fleet_load::OutgoingMessage& sent : all) {
@@ -52,7 +53,8 @@
             if (is_suspended(static_cast<int>(b))) continue;
             std::vector<gossip::IndexedLoad> own;
             for (int k = 0; k < servers; ++k)
-                if (load[b][static_cast<size_t>(k)] != 0) own.push_back({k, load[b][static_cast<size_t>(k)]});
+                if (load[b][static_cast<size_t>(k)] != 0)
+                    own.push_back({ServerIndex{k}, load[b][static_cast<size_t>(k)]});
             pass(static_cast<int>(b), aggregators[b].tick(now, now + wall_clock_offset, own, list));
         }
     }
@@ -67,8 +69,9 @@
         for (int k = 0; k < n; ++k) {
             run(1);
             for (size_t b = 0; b < of.size(); ++b) {
-                const std::optional<int> picked = aggregators[static_cast<size_t>(of[b])].pick(now, 0.5);
-                ++all[b][static_cast<size_t>(picked.value_or(servers))];
+                const std::optional<ServerIndex> picked =
+                    aggregators[static_cast<size_t>(of[b])].pick(now, 0.5);
+                ++all[b][picked.value_or(ServerIndex{servers}).value()];
             }
         }
         return all;
@@ -94,8 +97,8 @@
                 arrivals -= 1;
                 const auto b =
                     static_cast<size_t>(chance.uniform() * static_cast<double>(aggregators.size()));
-                const std::optional<int> picked = aggregators[b].pick(now, chance.uniform());
-                load[b][static_cast<size_t>(picked ? *picked : chance.uniform() * servers)] += 1;
+                const std::optional<ServerIndex> picked = aggregators[b].pick(now, chance.uniform());
+                load[b][picked ? picked->value() : static_cast<size_t>(chance.uniform() * servers)] += 1;
             }
         }
     }
@@ -291,7 +294,7 @@
     for (uint32_t short_id = 1000; short_id < 1300; ++short_id) {
         FleetLoadAggregator aggregator = f.aggregators[3];
         std::vector<fleet_load::EligibleServer> servers = f.list;
-        servers.push_back({Fleet::servers, short_id, 1});
+        servers.push_back({ServerIndex{Fleet::servers}, short_id, 1});
         (void)aggregator.tick(now, now, {}, servers);
         EXPECT_EQ(aggregator.freshness(now), 0);
         EXPECT_FALSE(aggregator.pick(now, 0.5));
--- a/tests/fleet_load/test_subset_order.cpp
+++ b/tests/fleet_load/test_subset_order.cpp
@@ -126,6 +126,5 @@
     EXPECT_EQ(ranking.order.size(), 9u);
     EXPECT_TRUE(std::equal(before.begin(), before.end(), ranking.scores.begin()));
     for (size_t k = 1; k < ranking.order.size(); ++k)
-        EXPECT_LE(ranking.scores[static_cast<size_t>(ranking.order[k - 1])],
-                  ranking.scores[static_cast<size_t>(ranking.order[k])]);
+        EXPECT_LE(ranking.score_of(ranking.order[k - 1]), ranking.score_of(ranking.order[k]));
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -64,10 +64,8 @@
 /// Reads and sets the state of a policy's components.
 struct PolicyInspector {
     BalancingPolicy& policy;
-    int index(const ServerId& id) { return policy.servers_.find(id); }
-    ServerState& server(const ServerId& id) {
-        return policy.servers_.servers_[policy.servers_.index_.at(id)];
-    }
+    ServerIndex index(const ServerId& id) { return policy.servers_.find(id).value(); }
+    ServerState& server(const ServerId& id) { return policy.servers_[index(id)]; }
     RequestState& request(RequestId id) { return policy.requests_.at(id); }
     bool has_request(RequestId id) { return policy.requests_.contains(id); }
 
@@ -135,7 +133,7 @@
         const RequestState request = make_group_request(now);
         const FleetView fleet = policy.shares_.view(now, &request);
         const PlacementContext context{
-            now, request, fleet, policy.servers_.load_of(request), -1, policy.gossip_.trust(now)};
+            now, request, fleet, policy.servers_.load_of(request), {}, policy.gossip_.trust(now)};
         return policy.placement_.has_room(context, index(id), true);
     }
 };
