--- a/src/capture/explain.cpp
+++ b/src/capture/explain.cpp
@@ -39,7 +39,7 @@
         const FleetView::DegradedServer* degraded =
             s.degraded_index ? &fleet.degraded[*s.degraded_index] : nullptr;
         const double load = servers.load_on(s);
-        const double load_limit = degraded ? degraded->load_limit : LoadLimit::unlimited;
+        const std::optional<double> load_limit = degraded ? degraded->load_limit : std::nullopt;
         std::string why;
         const auto add = [&](const char* w) { why += (why.empty() ? "" : ", ") + std::string(w); };
         if (state == EndpointState::draining) add("drains");
@@ -50,9 +50,9 @@
         if (s.outliers.is_failing() && s.pending_attempts > 0) add("failing: one leg at a time");
         if (servers.is_cold(now, s)) add("cold");
         if (degraded && degraded->is_counted && !degraded->is_open) add("cold budget spent");
-        if (degraded && load > load_limit) add("over its ceiling");
+        if (load_limit && load > *load_limit) add("over its ceiling");
         char limit[24] = "-";
-        if (load_limit < 1e11) std::snprintf(limit, sizeof limit, "%.2f", load_limit);
+        if (load_limit) std::snprintf(limit, sizeof limit, "%.2f", *load_limit);
         std::snprintf(line, sizeof line, "  %-14s %8.2f %8.2f %9s %9.2f %7.2f %6zu  ",
                       s.endpoint.server.c_str(), load, b.shares_.share(fleet, index), limit,
                       s.outliers.failure_penalty(now), servers.slow_start_factor(now, s),
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -180,7 +180,7 @@
     visit(a, unused);
     visit(a, limit.latency_);
     visit(a, limit.is_mild_);
-    visit(a, limit.limit_);
+    capture::visit_negative_for_none(a, limit.limit_);
     visit(a, limit.limited_at_);
     visit(a, limit.rounding_);
     visit(a, server.subset_draw);
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -71,7 +71,7 @@
     double weight = 0;
     if (is_counted)
         weight = server.weight * servers_.slow_start_factor(now, server) * server.outliers.trust(now);
-    const double limit = servers_.rounded_load_limit(now, server);
+    const std::optional<double> limit = servers_.rounded_load_limit(now, server);
     return {index, servers_.load_on(server), weight, limit, is_counted, is_open};
 }
 
@@ -83,10 +83,11 @@
         is_capped = false;
         fleet.share_per_weight = weights > 1e-9 ? std::max(0.0, total) / weights : 0;
         std::erase_if(unlimited, [&](FleetView::DegradedServer* server) {
-            if (server->share * fleet.share_per_weight <= server->load_limit) return false;
+            const std::optional<double>& limit = server->load_limit;
+            if (!limit || server->share * fleet.share_per_weight <= *limit) return false;
             weights -= server->share;
-            total -= server->load_limit;
-            server->share = server->load_limit;
+            total -= *limit;
+            server->share = *limit;
             is_capped = true;
             return true;
         });
@@ -99,9 +100,9 @@
     double heard = servers_.servers_in_use() + least_heard;
     for (const FleetView::DegradedServer& server : fleet.degraded) {
         const ServerState& state = servers_[server.server];
-        const bool is_over = server.load + added > server.load_limit;
+        const bool is_over = server.load_limit && server.load + added > *server.load_limit;
         fleet.slow_servers += server.is_open && !state.load_limit.is_mild() && is_over;
-        heard += server.load_limit < LoadLimit::unlimited && state.connections.empty();
+        heard += server.load_limit && state.connections.empty();
     }
     fleet.slow_part = fleet.slow_servers / heard;
     fleet.is_mostly_slow =
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -13,7 +13,8 @@
     /// A server that needs a look of its own.
     struct DegradedServer {
         ServerIndex server;
-        double load, share, load_limit;
+        double load, share;
+        std::optional<double> load_limit;
         bool is_counted;  ///< has a share
         bool is_open;     ///< may take this request
     };
--- a/src/policy/gossip_coordinator.cpp
+++ b/src/policy/gossip_coordinator.cpp
@@ -87,7 +87,8 @@
 bool GossipCoordinator::is_troubled(TimePoint now, const ServerState& server) const {
     if (server.outliers.is_failing()) return true;
     if (server.load_limit.is_mild()) return false;
-    return servers_.load_limit(now, server) < std::max(servers_.load_on(server), servers_.full_share(server));
+    const std::optional<double> limit = servers_.load_limit(now, server);
+    return limit && *limit < std::max(servers_.load_on(server), servers_.full_share(server));
 }
 
 bool GossipCoordinator::on_message(TimePoint now, int replica, const std::string& bytes) {
--- a/src/policy/load_limit.cpp
+++ b/src/policy/load_limit.cpp
@@ -29,25 +29,28 @@
         rounding_ = random.uniform() / std::max(1.0, std::pow(usage.full_share, 2));
         surplus = {usage.load - limit, static_cast<int>(migrations)};
     }
-    limit_ = std::min(at(now, usage.full_share), limit);
-    limited_at_ = now;
+    lower_to(now, limit, usage.full_share);
     return surplus;
 }
 
 void LoadLimit::on_reset(TimePoint now, double load, double full_share) {
-    limit_ = std::min(at(now, full_share), load);
-    limited_at_ = now;
+    lower_to(now, load, full_share);
     is_mild_ = false;
 }
 
-double LoadLimit::at(TimePoint now, double full_share) const {
-    if (!is_set()) return unlimited;
+void LoadLimit::lower_to(TimePoint now, double load, double full_share) {
+    limit_ = std::min(at(now, full_share).value_or(load), load);
+    limited_at_ = now;
+}
+
+std::optional<double> LoadLimit::at(TimePoint now, double full_share) const {
+    if (!is_set()) return std::nullopt;
     const double age = to_seconds(now - limited_at_);
-    if (age > limit_lifetime) return unlimited;
+    if (age > limit_lifetime) return std::nullopt;
     // A sound server must be able to take its part of what others lose: what it was cut to a moment ago, when
     // it was slow, would leave all of that to the few without a limit (r067ef1).
     const double least = is_mild_ ? full_share * mild_part_of_share : 0;
-    return std::max(least, limit_ + age * growth_per_second * full_share);
+    return std::max(least, *limit_ + age * growth_per_second * full_share);
 }
 
 }  // namespace headrouter
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -1,6 +1,7 @@
 // The load above which one server is known to answer slowly.
 #pragma once
 #include <cstddef>
+#include <optional>
 
 #include "base/pcg32.h"
 #include "base/time.h"
@@ -13,9 +14,6 @@
 /// limit rise again over time. Loads are in mean load units, of this balancer's connections alone.
 class LoadLimit {
    public:
-    /// The limit of a server that has none.
-    static constexpr double unlimited = 1e12;
-
     /// What this balancer has on the server as a latency report arrives.
     struct Usage {
         double load;
@@ -39,12 +37,13 @@
     /// there again.
     void on_reset(TimePoint now, double load, double full_share);
     /// Another process has taken the server's place.
-    void lift() { limit_ = negative_for_none; }
+    void lift() { limit_.reset(); }
 
-    /// The limit now, `unlimited` where there is none.
-    double at(TimePoint now, double full_share) const;
-    /// False where at() is `unlimited` whatever the server's full share.
-    bool is_set() const { return limit_ >= 0; }
+    /// The limit now, if there is one.
+    std::optional<double> at(TimePoint now, double full_share) const;
+    /// False where at() has none whatever the server's full share, which need not be summed up then. Sums of
+    /// loads that came and went can end just below zero: such a limit is none.
+    bool is_set() const { return limit_ && *limit_ >= 0; }
     /// The random part, added to a limit, that rounds the sum over all balancers for whole connections.
     double rounding() const { return rounding_; }
     /// Whether the last latency was short and no longer than the one before: load has no part in it.
@@ -68,12 +67,13 @@
     // A limit rises by this part of the server's full share a second, and ends after so many seconds.
     static constexpr double growth_per_second = 0.04, limit_lifetime = 30;
 
-    static constexpr double negative_for_none = -1;
+    /// Sets the limit to `load`, unless it is lower already.
+    void lower_to(TimePoint now, double load, double full_share);
 
     TimePoint reported_at_;
     double latency_ = 0;  // in seconds, as last reported
     bool is_mild_ = false;
-    double limit_ = negative_for_none;  // as of limited_at_
+    std::optional<double> limit_;  // as of limited_at_
     TimePoint limited_at_;
     double rounding_ = 0;
 };
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -171,8 +171,8 @@
 
 bool Placement::is_probably_slow(const PlacementContext& context, ServerIndex server) {
     const ServerState& state = servers_[server];
-    const bool has_limit = state.degraded_index &&
-                           context.fleet.degraded[*state.degraded_index].load_limit < LoadLimit::unlimited;
+    const bool has_limit =
+        state.degraded_index && context.fleet.degraded[*state.degraded_index].load_limit.has_value();
     const bool is_heard = !state.connections.empty() || has_limit;
     return !is_heard && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_part;
 }
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -103,8 +103,8 @@
     bool is_slow(const PlacementContext& context, ServerIndex server) const {
         const ServerState& state = servers_[server];
         if (!state.degraded_index) return false;
-        return servers_.load_on(state) + context.load >
-               context.fleet.degraded[*state.degraded_index].load_limit;
+        const std::optional<double>& limit = context.fleet.degraded[*state.degraded_index].load_limit;
+        return limit && servers_.load_on(state) + context.load > *limit;
     }
     /// A server on which this balancer has nothing reports nothing to it. It is as likely slow as those that
     /// it hears of: otherwise, with hundreds of balancers, whatever one migrates off another brings back
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -75,7 +75,8 @@
 RequestId RebalanceCycle::select_migration(TimePoint now, const ServerState& server) {
     const size_t n = server.connections.size();
     const auto first = static_cast<size_t>(random_.uniform() * static_cast<double>(n));
-    const bool is_slow = servers_.rounded_load_limit(now, server) < servers_.load_on(server);
+    const std::optional<double> limit = servers_.rounded_load_limit(now, server);
+    const bool is_slow = limit && *limit < servers_.load_on(server);
     const RequestState* best = nullptr;
     double most_freed = 0;
     for (size_t k = 0; k < n; ++k) {
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -154,8 +154,8 @@
 void ServerTable::update_degraded(TimePoint now) {
     std::erase_if(degraded_, [&](ServerIndex index) {
         ServerState& server = (*this)[index];
-        const bool is_sound = server.outliers.is_clear(now) && !is_cold(now, server) &&
-                              load_limit(now, server) >= LoadLimit::unlimited;
+        const bool is_sound =
+            server.outliers.is_clear(now) && !is_cold(now, server) && !load_limit(now, server);
         if (is_sound) server.degraded_index.reset();
         return is_sound;
     });
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -114,13 +114,16 @@
     /// Whether slow start lets this balancer send the server a connection of that load now. Rule 4, by what a
     /// server carries warm: its part of what is known of the fleet, else of what all may hold.
     bool has_warmup_permit(TimePoint now, ServerState&, double load) const;
-    /// LoadLimit::unlimited where it has none.
-    double load_limit(TimePoint now, const ServerState& server) const {
-        if (!server.load_limit.is_set()) return LoadLimit::unlimited;
+    /// The load above which the server is known to answer slowly, if there is one.
+    std::optional<double> load_limit(TimePoint now, const ServerState& server) const {
+        if (!server.load_limit.is_set()) return std::nullopt;
         return server.load_limit.at(now, full_share(server));
     }
-    double rounded_load_limit(TimePoint now, const ServerState& server) const {
-        return load_limit(now, server) + server.load_limit.rounding();
+    /// The same, rounded by chance for whole connections (LoadLimit::rounding).
+    std::optional<double> rounded_load_limit(TimePoint now, const ServerState& server) const {
+        const std::optional<double> limit = load_limit(now, server);
+        if (!limit) return std::nullopt;
+        return *limit + server.load_limit.rounding();
     }
     /// Listed servers that would get no new connection now.
     int count_unselectable(TimePoint now) const {
--- a/tests/policy/test_endpoints.cpp
+++ b/tests/policy/test_endpoints.cpp
@@ -66,7 +66,7 @@
     EXPECT_TRUE(inspector.is_selectable(now, "a"));
     EXPECT_EQ(inspector.excess("a").max_bucket(now), 0);
     EXPECT_TRUE(s.connections.empty());
-    EXPECT_GT(inspector.load_limit(now, "a"), 1e9);
+    EXPECT_FALSE(inspector.has_load_limit(now, "a"));
     EXPECT_EQ(inspector.started("a"), restarted.launched);
     EXPECT_EQ(actions.migrated.size(), 3u);  // their clients would wait on a process that does not know them
     policy.on_endpoints(now, EndpointUpdateKind::delta, {restarted});  // told twice: nothing begins anew
--- a/tests/policy/test_load_limit.cpp
+++ b/tests/policy/test_load_limit.cpp
@@ -17,7 +17,7 @@
 TEST(LoadLimit, AServerThatAnswersInTimeKeepsWhatItHas) {
     LoadLimit limit;
     Pcg32 random(1);
-    EXPECT_EQ(limit.at(start, 20), LoadLimit::unlimited);
+    EXPECT_EQ(limit.at(start, 20), std::nullopt);
     const LoadLimit::Surplus surplus = limit.on_latency_report(start, 0.03, objective, twenty, random);
     EXPECT_EQ(surplus.connections, 0);
     EXPECT_EQ(limit.at(start, 20), 20);
@@ -31,7 +31,7 @@
     EXPECT_GE(surplus.connections, 10);  // asked 1.6 times what it can do, of which 0.73 is aimed at
     EXPECT_LE(surplus.connections, 11);
     EXPECT_DOUBLE_EQ(surplus.load, surplus.connections);
-    EXPECT_DOUBLE_EQ(limit.at(start, 20), 20 - surplus.load);
+    EXPECT_DOUBLE_EQ(limit.at(start, 20).value(), 20 - surplus.load);
     EXPECT_FALSE(limit.is_mild());
 }
 
@@ -39,10 +39,19 @@
     LoadLimit limit;
     limit.on_reset(start, 5, 20);
     EXPECT_EQ(limit.at(start, 20), 5);
-    EXPECT_DOUBLE_EQ(limit.at(start + seconds(10), 20), 13);  // a 25th of its full share each second
-    EXPECT_EQ(limit.at(start + seconds(31), 20), LoadLimit::unlimited);
+    EXPECT_DOUBLE_EQ(limit.at(start + seconds(10), 20).value(), 13);  // a 25th of its full share each second
+    EXPECT_EQ(limit.at(start + seconds(31), 20), std::nullopt);
     limit.lift();
-    EXPECT_EQ(limit.at(start, 20), LoadLimit::unlimited);
+    EXPECT_EQ(limit.at(start, 20), std::nullopt);
+}
+
+TEST(LoadLimit, ALoadJustBelowZeroLeavesNoLimit) {
+    LoadLimit limit;
+    limit.on_reset(start, -1e-15, 20);  // what is left of sums of loads that came and went
+    EXPECT_FALSE(limit.is_set());
+    EXPECT_EQ(limit.at(start, 20), std::nullopt);
+    limit.on_reset(start, 0, 20);
+    EXPECT_EQ(limit.at(start, 20), 0);
 }
 
 TEST(LoadLimit, AMildServerKeepsMostOfItsShare) {
@@ -52,7 +61,7 @@
     EXPECT_FALSE(limit.is_mild());  // longer than the report before, of which there is none
     limit.on_latency_report(start + seconds(1), 0.03, objective, {2, 2, 20}, random);
     EXPECT_TRUE(limit.is_mild());
-    EXPECT_DOUBLE_EQ(limit.at(start + seconds(1), 20), 14);
+    EXPECT_DOUBLE_EQ(limit.at(start + seconds(1), 20).value(), 14);
 }
 
 TEST(SurplusDrain, MigratesInStepsUntilTheSurplusIsGone) {
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -89,9 +89,12 @@
     // Its load, its limit and its slow start.
     double load(const ServerId& id) { return policy.servers_.load_on(server(id)); }
     double load_limit(TimePoint now, const ServerId& id) {
-        return policy.servers_.rounded_load_limit(now, server(id));
+        return policy.servers_.rounded_load_limit(now, server(id)).value();
     }
-    double& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
+    bool has_load_limit(TimePoint now, const ServerId& id) {
+        return policy.servers_.rounded_load_limit(now, server(id)).has_value();
+    }
+    std::optional<double>& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
     TimePoint& limited_at(const ServerId& id) { return server(id).load_limit.limited_at_; }
     double share(TimePoint now, const ServerId& id) {
         const FleetView fleet = policy.shares_.view(now, nullptr);
