--- a/src/capture/component_visits.h
+++ b/src/capture/component_visits.h
@@ -134,15 +134,16 @@
     template <class A>
     static void visit_state(A& a, fleet_load::FleetLoadAggregator& aggregator) {
         using capture::visit;
+        using capture::visit_negative_for_none;
         visit(a, aggregator.replica_index_);
         visit(a, aggregator.replica_count_);
-        visit(a, aggregator.epoch_);
-        visit(a, aggregator.candidate_);
-        visit(a, aggregator.last_candidate_);
+        visit_negative_for_none(a, aggregator.election_.epoch_);
+        visit(a, aggregator.election_.candidate_);
+        visit(a, aggregator.election_.last_candidate_);
         visit(a, aggregator.timestamp_);
         visit(a, aggregator.ticked_at_);
         visit(a, aggregator.reported_at_);
-        visit(a, aggregator.aggregator_since_);
+        visit(a, aggregator.election_.since_);
         visit(a, aggregator.loss_at_);
         visit(a, aggregator.reported_);
         visit_all(a, aggregator.servers_, [&](fleet_load::EligibleServer& server) {
@@ -150,20 +151,22 @@
             visit(a, server.short_id);
             visit(a, server.weight);
         });
-        visit_all(a, aggregator.reporters_, [&](fleet_load::FleetLoadAggregator::Reporter& reporter) {
+        fleet_load::HeadroomCalculator& calculator = aggregator.calculator_;
+        visit_all(a, calculator.reporters_, [&](fleet_load::HeadroomCalculator::Reporter& reporter) {
             visit(a, reporter.received_at);
             visit(a, reporter.timestamp);
             visit(a, reporter.loads);
         });
-        visit_state(a, aggregator.arrivals_);
-        visit(a, aggregator.aggregated_at_);
-        visit(a, aggregator.enough_reporters_at_);
-        visit(a, aggregator.headroom_);
-        visit(a, aggregator.headroom_timestamp_);
-        visit(a, aggregator.headroom_from_);
-        visit(a, aggregator.headroom_at_);
-        visit(a, aggregator.picked_);
-        visit(a, aggregator.usually_picked_);
+        visit_state(a, calculator.arrivals_);
+        visit(a, calculator.computed_at_);
+        visit(a, calculator.enough_reporters_at_);
+        fleet_load::ReceivedHeadroom& headroom = aggregator.headroom_;
+        visit(a, headroom.headroom_);
+        visit(a, headroom.timestamp_);
+        visit_negative_for_none(a, headroom.from_);
+        visit(a, headroom.received_at_);
+        visit(a, headroom.picked_);
+        visit(a, headroom.usually_picked_);
     }
 };
 
--- a/src/fleet_load/fleet_load_aggregator.h
+++ b/src/fleet_load/fleet_load_aggregator.h
@@ -15,8 +15,11 @@
 #include <vector>
 
 #include "base/server_index.h"
-#include "base/sliding_window.h"
 #include "base/time.h"
+#include "fleet_load/aggregator_election.h"
+#include "fleet_load/eligible_server.h"
+#include "fleet_load/headroom_calculator.h"
+#include "fleet_load/received_headroom.h"
 #include "gossip/gossip_message.h"
 #include "gossip/load_tally.h"
 
@@ -26,13 +29,6 @@
 
 namespace fleet_load {
 
-/// A server to which this balancer may send connections.
-struct EligibleServer {
-    ServerIndex server;
-    gossip::ShortServerId short_id;
-    double weight;
-};
-
 struct OutgoingMessage {
     int replica_index;  ///< of the balancer that it goes to
     std::string bytes;
@@ -59,9 +55,8 @@
     void on_message(TimePoint now, int from, const gossip::Message& message);
 
     /// The server that the next connection should go to, by the loads of all balancers. Nothing where the
-    /// balancer's own share is to decide: without fresh headroom, and beyond twice the connections that
-    /// usually come between two headroom messages, since headroom is for what usually comes, and a burst at
-    /// many balancers at once would overfill the servers that have some. `random` lies between 0 and 1.
+    /// balancer's own share is to decide: without fresh headroom, and where it is used up
+    /// (ReceivedHeadroom::is_used_up). `random` lies between 0 and 1.
     [[nodiscard]] std::optional<ServerIndex> pick(TimePoint now, double random);
 
     /// The weight that the headroom deserves: 1 while it is fresh, falling to 0.
@@ -70,67 +65,38 @@
    private:
     friend struct headrouter::ComponentStateAccess;
 
-    struct Reporter {
-        TimePoint received_at;  // of the latest report; zero before the first
-        uint32_t timestamp = 0;
-        std::vector<gossip::ServerLoad> loads;
-
-        /// Whether its latest report still counts.
-        [[nodiscard]] bool is_current(TimePoint now) const;
-    };
-    struct ServerTotal;
-    struct FleetTotals;
-
     bool was_suspended(TimePoint now) const;
-    int aggregator() const;
-    bool has_answered() const { return headroom_at_ > aggregator_since_; }
+    int aggregator() const { return election_.aggregator(replica_count_); }
+    bool has_answered() const { return election_.has_answered(headroom_.received_at()); }
     uint32_t list_checksum() const;
 
     void forget_others(TimePoint now);
     void update_servers(const std::vector<EligibleServer>&);
-    void begin_epoch(TimePoint now, int64_t epoch);
-    void replace_silent_aggregator(TimePoint now);
+    void update_aggregator(TimePoint now, TimePoint wall_time);
 
     std::vector<gossip::ServerLoad> report_of(const std::vector<gossip::IndexedLoad>& own_loads) const;
     bool is_report_due(TimePoint now, const std::vector<gossip::ServerLoad>&);
     void report(TimePoint now, const std::vector<gossip::IndexedLoad>& own_loads,
                 std::vector<OutgoingMessage>& out);
 
-    void on_load_report(TimePoint now, int from, const gossip::Message&);
-    void count_arrivals(TimePoint now, const Reporter&, const std::vector<gossip::ServerLoad>&);
     void on_headroom(TimePoint now, int from, const gossip::Message&);
-    void accept_headroom(TimePoint now, const std::vector<int>& headroom);
-
-    bool may_aggregate(TimePoint now, int reporters);
-    FleetTotals sum_reports(TimePoint now) const;
-    std::vector<int> headroom_for(TimePoint now, const FleetTotals&);
     void aggregate(TimePoint now, std::vector<OutgoingMessage>& out);
     void publish_headroom(TimePoint now, const std::vector<int>& headroom, std::vector<OutgoingMessage>& out);
 
     int replica_index_ = 0;
     int replica_count_ = 1;
     std::vector<EligibleServer> servers_;  // by short id
+    AggregatorElection election_;
 
     // As a reporter.
-    int64_t epoch_ = -1;
-    int candidate_ = 0;       // which candidate of this epoch is the aggregator
-    int last_candidate_ = 3;  // up to which they are tried before the first is tried again
     uint32_t timestamp_ = 0;  // of the latest tick
-    TimePoint ticked_at_, reported_at_, aggregator_since_, loss_at_;
+    TimePoint ticked_at_;
+    TimePoint reported_at_;
+    TimePoint loss_at_;                         // when a message was last seen to be lost
     std::vector<gossip::ServerLoad> reported_;  // the latest report
 
-    // As an aggregator.
-    std::vector<Reporter> reporters_;                // by replica index
-    SlidingWindow<4> arrivals_{seconds(1)};          // connections that came up at all reporters
-    TimePoint aggregated_at_, enough_reporters_at_;  // the latter: zero while there are too few
-
-    // Headroom received.
-    std::vector<int> headroom_;  // in the order of servers_
-    uint32_t headroom_timestamp_ = 0;
-    int headroom_from_ = -1;
-    TimePoint headroom_at_;
-    int picked_ = 0;             // since then
-    double usually_picked_ = 0;  // between two headroom messages
+    HeadroomCalculator calculator_;  // as an aggregator
+    ReceivedHeadroom headroom_;
 };
 
 }  // namespace fleet_load
--- /dev/null
+++ b/src/fleet_load/headroom_calculator.cpp
@@ -0,0 +1,176 @@
+#include "fleet_load/headroom_calculator.h"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+
+#include "fleet_load/message_order.h"
+
+namespace headrouter::fleet_load {
+
+using gossip::ServerLoad;
+
+namespace {
+
+/// From when there are enough reporters to the first headroom, so that it is of all and not of the earliest.
+constexpr Duration gather_time = millis(600);
+/// Two others and this one: what a single balancer reports moves nobody.
+constexpr int min_reporters = 3;
+/// A server that so many found slow or failing gets nothing more, unless more than this part of the fleet is.
+constexpr int min_degraded_reports = 2;
+constexpr double max_degraded_fraction = 0.25;
+/// A load that is not reported (of a degraded server), in mean load units.
+constexpr double degraded_load = 1;
+/// One report counts at the most so many connections as new at a server.
+constexpr double max_arrivals_per_row = 4;
+/// Beyond twice the second largest report of a server and so much, the largest one is not believed.
+constexpr double outlier_slack = 2;
+/// Where hardly anything comes, a fraction of a connection too few or too many does not matter.
+constexpr double min_expected_arrivals = 0.5;
+/// Arrivals are counted over so many seconds, which their window holds.
+constexpr double least_counted_seconds = 1;
+constexpr double most_counted_seconds = 4;
+/// Keeps quotients finite where no server has a weight.
+constexpr double least_weight = 1e-9;
+
+double load_in_report(const std::vector<ServerLoad>& loads, gossip::ShortServerId server) {
+    const auto it =
+        std::find_if(loads.begin(), loads.end(), [&](const ServerLoad& row) { return row.server == server; });
+    return it == loads.end() ? 0 : std::max(0.0, it->load);
+}
+
+}  // namespace
+
+/// A server's load over all reporters.
+struct HeadroomCalculator::ServerTotal {
+    double sum = 0;
+    double largest = 0;
+    double second_largest = 0;
+    int degraded_reports = 0;
+
+    void add(double reported) {
+        const bool is_degraded = reported < 0;
+        const double load = is_degraded ? degraded_load : reported;
+        degraded_reports += is_degraded ? 1 : 0;
+        sum += load;
+        second_largest = std::max(second_largest, std::min(largest, load));
+        largest = std::max(largest, load);
+    }
+    /// The largest report counts for little more than the second, so that one false report makes no server
+    /// look full.
+    void discount_outlier() { sum -= std::max(0.0, largest - 2 * second_largest - outlier_slack); }
+    [[nodiscard]] bool is_degraded() const { return degraded_reports >= min_degraded_reports; }
+};
+
+struct HeadroomCalculator::FleetTotals {
+    int reporters = 0;
+    std::map<gossip::ShortServerId, ServerTotal> servers;
+};
+
+bool HeadroomCalculator::Reporter::is_current(TimePoint now) const {
+    return received_at.ns > 0 && now - received_at <= forget_after;
+}
+
+void HeadroomCalculator::begin_epoch() {
+    enough_reporters_at_ = TimePoint{};
+    reporters_.clear();
+}
+
+void HeadroomCalculator::on_load_report(TimePoint now, int from, int replica_count,
+                                        const gossip::Message& message) {
+    reporters_.resize(static_cast<size_t>(replica_count));
+    Reporter& reporter = reporters_[static_cast<size_t>(from)];
+    const bool is_first = reporter.received_at.ns <= 0;
+    if (!is_first && !is_newer(message.timestamp, reporter.timestamp, now, reporter.received_at)) return;
+    // Of one not heard before, or not for long, nothing is known to be new.
+    if (!is_first && now - reporter.received_at < forget_after) count_arrivals(now, reporter, message.loads);
+    reporter.received_at = now;
+    reporter.timestamp = message.timestamp;
+    reporter.loads = message.loads;
+}
+
+void HeadroomCalculator::count_arrivals(TimePoint now, const Reporter& reporter,
+                                        const std::vector<ServerLoad>& loads) {
+    for (const ServerLoad& row : loads) {
+        const double before = load_in_report(reporter.loads, row.server);
+        if (row.load > before) arrivals_.add(now, std::min(row.load - before, max_arrivals_per_row));
+    }
+}
+
+std::optional<std::vector<int>> HeadroomCalculator::compute(TimePoint now, int replica_count,
+                                                            const std::vector<EligibleServer>& servers) {
+    if (now - computed_at_ < round_time) return std::nullopt;
+    FleetTotals totals = sum_reports(now);
+    if (!has_gathered(now, totals.reporters, replica_count)) return std::nullopt;
+    for (const EligibleServer& server : servers) totals.servers[server.short_id].discount_outlier();
+    std::vector<int> headroom = headroom_for(now, totals, servers);
+    computed_at_ = now;
+    return headroom;
+}
+
+std::vector<int> HeadroomCalculator::current_reporters(TimePoint now) const {
+    std::vector<int> replicas;
+    for (size_t k = 0; k < reporters_.size(); ++k)
+        if (reporters_[k].is_current(now)) replicas.push_back(static_cast<int>(k));
+    return replicas;
+}
+
+HeadroomCalculator::FleetTotals HeadroomCalculator::sum_reports(TimePoint now) const {
+    FleetTotals totals;
+    for (const Reporter& reporter : reporters_) {
+        if (!reporter.is_current(now)) continue;
+        ++totals.reporters;
+        for (const ServerLoad& row : reporter.loads) totals.servers[row.server].add(row.load);
+    }
+    return totals;
+}
+
+bool HeadroomCalculator::has_gathered(TimePoint now, int reporters, int replica_count) {
+    if (reporters < std::min(min_reporters, replica_count)) {
+        enough_reporters_at_ = TimePoint{};
+        return false;
+    }
+    if (enough_reporters_at_.ns == 0) enough_reporters_at_ = now;
+    return now - enough_reporters_at_ >= gather_time;
+}
+
+double HeadroomCalculator::arrivals_per_round(TimePoint now) {
+    const double counted_seconds =
+        std::clamp(to_seconds(now - enough_reporters_at_), least_counted_seconds, most_counted_seconds);
+    return arrivals_.sum(now) / counted_seconds * to_seconds(round_time);
+}
+
+// Of each server, what it should get of the connections of the next round: its share by weight, and what its
+// load lacks to the mean.
+std::vector<int> HeadroomCalculator::headroom_for(TimePoint now, const FleetTotals& totals,
+                                                  const std::vector<EligibleServer>& servers) {
+    double fleet_load = 0;
+    double fleet_weight = 0;
+    int degraded = 0;
+    for (const EligibleServer& server : servers) {
+        const ServerTotal& total = totals.servers.at(server.short_id);
+        fleet_load += total.sum;
+        fleet_weight += server.weight;
+        degraded += total.is_degraded() ? 1 : 0;
+    }
+    const bool avoids_degraded = degraded <= max_degraded_fraction * static_cast<double>(servers.size());
+    const double arrivals = arrivals_per_round(now);
+
+    std::vector<int> headroom;
+    double rounding = 0;  // carried from server to server, so that the rounded parts add up
+    for (const EligibleServer& server : servers) {
+        const ServerTotal& total = totals.servers.at(server.short_id);
+        const double share = server.weight / std::max(fleet_weight, least_weight);
+        const double lacking = fleet_load * share - total.sum;
+        const double wanted = 1 + lacking / std::max(arrivals * share, min_expected_arrivals);
+        const bool is_avoided = avoids_degraded && total.is_degraded();
+        const double exact = is_avoided ? 0 : std::clamp(wanted, 0.0, 1.0 * gossip::max_headroom);
+        const int rounded =
+            std::clamp(static_cast<int>(std::lround(exact + rounding)), 0, gossip::max_headroom);
+        rounding = std::clamp(rounding + exact - rounded, -0.5, 0.5);
+        headroom.push_back(rounded);
+    }
+    return headroom;
+}
+
+}  // namespace headrouter::fleet_load
--- /dev/null
+++ b/src/fleet_load/received_headroom.cpp
@@ -0,0 +1,65 @@
+#include "fleet_load/received_headroom.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "fleet_load/message_order.h"
+
+namespace headrouter::fleet_load {
+
+namespace {
+
+/// Headroom counts in full for so many rounds, and not at all after so many.
+constexpr double rounds_fresh = 2;
+constexpr double rounds_until_stale = 4;
+/// How fast the usual number of picks follows.
+constexpr double usual_gain = 0.2;
+/// The steps of two sequences that together fill a square evenly (of the plastic number; Roberts, 2018): one
+/// moves with the headroom's timestamp, the other with each pick.
+constexpr double timestamp_step = 0.7548776662466927;
+constexpr double pick_step = 0.5698402909980532;
+
+double fraction_of(double x) { return x - std::floor(x); }
+
+}  // namespace
+
+void ReceivedHeadroom::accept(TimePoint now, int from, uint32_t timestamp, const std::vector<int>& headroom,
+                              size_t server_count) {
+    from_ = from;
+    timestamp_ = timestamp;
+    headroom_ = headroom;
+    headroom_.resize(server_count);
+    received_at_ = now;
+    usually_picked_ += (picked_ - usually_picked_) * usual_gain;
+    picked_ = 0;
+}
+
+double ReceivedHeadroom::freshness(TimePoint now) const {
+    if (headroom_.empty() || received_at_.ns == 0) return 0;
+    const double rounds = (now - received_at_) / round_time;
+    return std::clamp((rounds_until_stale - rounds) / (rounds_until_stale - rounds_fresh), 0.0, 1.0);
+}
+
+bool ReceivedHeadroom::is_used_up() const { return picked_ > 1 + 2 * usually_picked_; }
+
+std::optional<ServerIndex> ReceivedHeadroom::pick(double replica_place,
+                                                  const std::vector<EligibleServer>& servers) {
+    double all_weight = 0;
+    double all_headroom = 0;
+    for (size_t k = 0; k < servers.size(); ++k) {
+        all_weight += servers[k].weight;
+        all_headroom += servers[k].weight * headroom_[k];
+    }
+    // What the headroom leaves of all weight is the own share's to place: an aggregator that falsely gives
+    // headroom to one server only moves to it no more than max_headroom times its share.
+    const double place = fraction_of(replica_place + timestamp_ * timestamp_step + picked_ * pick_step);
+    ++picked_;
+    double rest = place * std::max(all_weight, all_headroom);
+    for (size_t k = 0; k < servers.size(); ++k) {
+        rest -= servers[k].weight * headroom_[k];
+        if (rest < 0) return servers[k].server;
+    }
+    return std::nullopt;
+}
+
+}  // namespace headrouter::fleet_load
