--- a/src/capture/explain.cpp
+++ b/src/capture/explain.cpp
@@ -38,8 +38,9 @@
         if (state == EndpointState::removed && s.connections.empty()) continue;
         const FleetView::DegradedServer* degraded =
             s.degraded_index ? &fleet.degraded[*s.degraded_index] : nullptr;
-        const double load = servers.load_on(s);
-        const std::optional<double> load_limit = degraded ? degraded->load_limit : std::nullopt;
+        const double load = b.loads_.load_on(s);
+        std::optional<double> load_limit;
+        if (degraded) load_limit = degraded->load_limit;
         std::string why;
         const auto add = [&](const char* w) { why += (why.empty() ? "" : ", ") + std::string(w); };
         if (state == EndpointState::draining) add("drains");
@@ -48,14 +49,14 @@
         if (s.outliers.is_ejected(now)) add("out of the shares for terms");
         if (s.outliers.is_in_backoff(now)) add("skipped after failures");
         if (s.outliers.is_failing() && s.pending_attempts > 0) add("failing: one leg at a time");
-        if (servers.is_cold(now, s)) add("cold");
+        if (b.warmup_.is_cold(now, s)) add("cold");
         if (degraded && degraded->is_counted && !degraded->is_open) add("cold budget spent");
         if (load_limit && load > *load_limit) add("over its ceiling");
         char limit[24] = "-";
         if (load_limit) std::snprintf(limit, sizeof limit, "%.2f", *load_limit);
         std::snprintf(line, sizeof line, "  %-14s %8.2f %8.2f %9s %9.2f %7.2f %6zu  ",
                       s.endpoint.server.c_str(), load, b.shares_.share(fleet, index), limit,
-                      s.outliers.failure_penalty(now), servers.slow_start_factor(now, s),
+                      s.outliers.failure_penalty(now), b.warmup_.slow_start_factor(now, s),
                       s.connections.size());
         o << line << why << "\n";
     }
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -206,8 +206,8 @@
     if constexpr (!A::writes)
         if (a.left() == 0) return;
     capture::visit_latest(a, policy.config_);
-    capture::visit(a, policy.gossip_.runs_aggregator_);
-    visit_state(a, policy.gossip_.aggregator_);
+    capture::visit(a, policy.gossip_.headroom_.has_timer_);
+    visit_state(a, policy.gossip_.headroom_.aggregator_);
     if constexpr (!A::writes)
         if (a.left() == 0) return;
     visit_state(a, policy.retry_budget_);
@@ -223,6 +223,7 @@
 void StateAccess::visit_first_form(A& a, BalancingPolicy& policy) {
     using capture::visit;
     ServerTable& servers = policy.servers_;
+    ServerLoads& loads = policy.loads_;
     visit(a, policy.config_);
     visit_state(a, policy.random_);
     const size_t count = capture::visit_size(a, servers.servers_.size());
@@ -234,18 +235,18 @@
     visit(a, servers.index_);
     visit(a, policy.groups_.groups_);
     visit(a, policy.rankings_.rankings_);
-    visit(a, servers.degraded_);
-    visit(a, servers.total_);
+    visit(a, policy.degraded_.list_);
+    visit(a, loads.total_);
     visit(a, policy.groups_.connections_);
     visit(a, policy.groups_.pairs_);
     visit(a, servers.active_weight_);
     visit(a, servers.active_listed_weight_);
     visit(a, servers.active_count_);
     visit(a, servers.updates_);
-    visit(a, servers.servers_in_use_);
+    visit(a, loads.servers_in_use_);
     visit(a, policy.requests_);
     visit(a, policy.queue_.waiting_);
-    visit_state(a, servers.loads_);
+    visit_state(a, loads.class_loads_);
     visit(a, policy.failovers_.entries_);
     visit(a, policy.failovers_.by_age_);
     visit(a, policy.message_objective_);
@@ -254,7 +255,7 @@
     visit(a, policy.queue_.has_timer_);
     visit(a, policy.endpoints_.asked_at_);
     visit(a, policy.endpoints_.retry_pause_);
-    visit(a, servers.warm_weight_);
+    visit(a, policy.warmup_.warm_weight_);
     capture::visit_later(a, policy.config_);
     for (ServerState& server : servers.servers_) server.id_hash = hash_of(server.endpoint.server);
 }
@@ -267,14 +268,16 @@
         visit(a, server.fleet_load);
         visit(a, server.own_load_then);
     }
+    RoundExchange& rounds = gossip.rounds_;
+    LocationPublisher& locations = gossip.locations_;
     visit_state(a, gossip.short_ids_);
-    visit_tally(a, gossip.rounds_);
-    visit_state(a, gossip.locations_);
-    visit_latest_sum(a, gossip.rounds_);
-    visit(a, gossip.unpublished_);
-    visit(a, gossip.credit_);
-    visit(a, gossip.publishes_locations_);
-    visit(a, gossip.runs_rounds_);
+    visit_tally(a, rounds.rounds_);
+    visit_state(a, locations.locations_);
+    visit_latest_sum(a, rounds.rounds_);
+    visit(a, locations.unpublished_);
+    visit(a, locations.credit_);
+    visit(a, locations.has_timer_);
+    visit(a, rounds.has_timer_);
 }
 
 }  // namespace headrouter
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "policy/subset_draw.h"
 #include "policy/timers.h"
 
 namespace headrouter {
@@ -20,7 +21,8 @@
     const bool is_one_of_replicas = config_.replica_index < static_cast<uint64_t>(config_.replica_count);
     config_.gossip_enabled = config_.gossip_enabled && is_one_of_replicas;
     gossip_.configure();
-    servers_.configure();
+    draw_subset(config_, servers_);
+    loads_.configure();
     message_objective_ = config_.shortest_message_objective();
 }
 
@@ -60,7 +62,7 @@
     attempt.established = true;
     if (!request->may_have_run) request->may_have_run = number;
     early_resets_.on_established(now);
-    servers_.record_established(now, attempt.server);
+    health_.record_established(now, attempt.server);
     gossip_.on_group_placed(now, request->group, attempt.server);
 }
 
@@ -78,14 +80,14 @@
 void BalancingPolicy::on_load_report(TimePoint, RequestId id, double micros) {
     const auto it = requests_.find(id);
     if (it == requests_.end() || !it->second.connection_index || !(micros >= 0)) return;
-    servers_.record_load(it->second, micros);
+    loads_.record_load(it->second, micros);
 }
 
 void BalancingPolicy::on_latency_report(TimePoint now, const ServerId& id, double millis) {
     const std::optional<ServerIndex> server = servers_.find(id);
     if (!server) return;
     const LoadLimit::Surplus surplus =
-        servers_.record_latency(now, *server, millis / 1000, message_objective_, random_);
+        health_.record_latency(now, *server, millis / 1000, message_objective_, random_);
     if (surplus.connections > 0)
         rebalance_.start_drain(now, *server, surplus.load, surplus.connections, slow_server_drain);
 }
@@ -94,7 +96,7 @@
     const RequestId id = rebalance_.select(now, server);
     if (!id) return;
     RequestState& request = requests_.at(id);
-    const double load = servers_.load_of(request);
+    const double load = loads_.load_of(request);
     connections_.migrate(request);
     rebalance_.on_migrated(now, server, load);
 }
@@ -131,7 +133,7 @@
 RequestState& BalancingPolicy::add_request(Request request) {
     RequestState& added = requests_[request.id];
     added = RequestState(std::move(request));
-    servers_.learn_hinted_load(added);
+    loads_.learn_hinted_load(added);
     return added;
 }
 
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -12,6 +12,8 @@
 #include "base/pcg32.h"
 #include "base/time.h"
 #include "policy/connection_tracker.h"
+#include "policy/degraded_servers.h"
+#include "policy/eligibility.h"
 #include "policy/endpoint_tracker.h"
 #include "policy/endpoint_updater.h"
 #include "policy/fair_shares.h"
@@ -24,8 +26,11 @@
 #include "policy/request_pipeline.h"
 #include "policy/request_queue.h"
 #include "policy/request_state.h"
+#include "policy/server_health.h"
+#include "policy/server_loads.h"
 #include "policy/server_table.h"
 #include "policy/types.h"
+#include "policy/warmup_admission.h"
 #include "retry/early_reset_rate.h"
 #include "retry/retry_budget.h"
 
@@ -75,7 +80,7 @@
     const PolicyConfig& config() const { return config_; }
     bool has_server(const ServerId& id) const { return servers_.find(id).has_value(); }
     /// Listed servers that would get no new connection now.
-    int count_unselectable(TimePoint now) const { return servers_.count_unselectable(now); }
+    int count_unselectable(TimePoint now) const { return eligibility::count_unselectable(now, servers_); }
 
    private:
     friend struct PolicyInspector;  // the tests build states directly
@@ -98,19 +103,26 @@
     EarlyResetRate early_resets_;
 
     ServerTable servers_{config_};
-    FairShares shares_{config_, servers_};
+    ServerLoads loads_{config_, servers_};
+    WarmupAdmission warmup_{config_, servers_, loads_};
+    DegradedServers degraded_{servers_, loads_, warmup_};
+    ServerHealth health_{servers_, loads_, degraded_};
+    FairShares shares_{{config_, servers_, loads_, warmup_, degraded_}};
     FailoverTable failovers_;
     GroupTable groups_;
     RendezvousRankings rankings_;
     EndpointTracker endpoints_{config_, actions_, random_};
-    GossipCoordinator gossip_{{config_, servers_, rankings_, actions_, random_}};
-    Placement placement_{{config_, servers_, shares_, groups_, rankings_, gossip_, random_}};
-    RebalanceCycle rebalance_{{servers_, shares_, groups_, requests_, actions_, random_}};
-    ConnectionTracker connections_{{servers_, groups_, requests_, actions_}};
-    EndpointUpdater endpoint_updater_{{servers_, gossip_, connections_, requests_}};
+    GossipCoordinator gossip_{{config_, servers_, loads_, rankings_, actions_, random_}};
+    Placement placement_{{config_, servers_, loads_, warmup_, shares_, groups_, rankings_, gossip_, random_}};
+    RebalanceCycle rebalance_{
+        {servers_, loads_, warmup_, degraded_, shares_, groups_, requests_, actions_, random_}};
+    ConnectionTracker connections_{{loads_, groups_, requests_, actions_}};
+    EndpointUpdater endpoint_updater_{
+        {config_, servers_, warmup_, health_, gossip_, connections_, requests_}};
     RequestQueue queue_{config_, actions_};
-    RequestPipeline pipeline_{{config_, servers_, shares_, failovers_, gossip_, placement_, retry_budget_,
-                               early_resets_, connections_, requests_, queue_, actions_, random_}};
+    RequestPipeline pipeline_{{config_, servers_, loads_, warmup_, health_, shares_, failovers_, gossip_,
+                               placement_, retry_budget_, early_resets_, connections_, requests_, queue_,
+                               actions_, random_}};
 };
 
 }  // namespace headrouter
--- a/src/policy/connection_tracker.h
+++ b/src/policy/connection_tracker.h
@@ -3,7 +3,7 @@
 #include "affinity/group_table.h"
 #include "policy/policy_actions.h"
 #include "policy/request_state.h"
-#include "policy/server_table.h"
+#include "policy/server_loads.h"
 
 namespace headrouter {
 
@@ -13,16 +13,13 @@
    public:
     /// All must outlive it.
     struct Parts {
-        ServerTable& servers;
+        ServerLoads& loads;
         GroupTable& groups;
         RequestTable& requests;
         PolicyActions& actions;
     };
     explicit ConnectionTracker(const Parts& parts)
-        : servers_(parts.servers),
-          groups_(parts.groups),
-          requests_(parts.requests),
-          actions_(parts.actions) {}
+        : loads_(parts.loads), groups_(parts.groups), requests_(parts.requests), actions_(parts.actions) {}
 
     /// Counts the connection of the request's last attempt, which is at `server`.
     void add(ServerIndex server, RequestState&);
@@ -32,7 +29,7 @@
     void migrate(RequestState&);
 
    private:
-    ServerTable& servers_;
+    ServerLoads& loads_;
     GroupTable& groups_;
     RequestTable& requests_;
     PolicyActions& actions_;
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -2,13 +2,17 @@
 
 #include <algorithm>
 
+#include "policy/subset_draw.h"
+
 namespace headrouter {
 
 void EndpointUpdater::apply_update(TimePoint now, const std::vector<Endpoint>& endpoints,
                                    bool is_whole_list) {
     servers_.begin_update();
     for (const Endpoint& endpoint : endpoints) apply(now, endpoint);
-    servers_.end_update(now, is_whole_list);
+    servers_.end_update(is_whole_list);
+    warmup_.on_endpoints(now);
+    draw_subset(config_, servers_);
 }
 
 ServerIndex EndpointUpdater::apply(TimePoint now, const Endpoint& endpoint) {
@@ -16,7 +20,7 @@
     if (applied.is_new) gossip_.add_server(endpoint.server, applied.server);
     const bool starts = applied.is_restarted || (applied.is_new && endpoint.launched);
     // A launch time ahead of this clock would keep the server cold until then.
-    if (starts) servers_.begin_slow_start(now, applied.server, std::min(*endpoint.launched, now));
+    if (starts) health_.begin_slow_start(now, applied.server, std::min(*endpoint.launched, now));
     if (applied.is_restarted) replace_process(applied.server);
     return applied.server;
 }
--- a/src/policy/endpoint_updater.h
+++ b/src/policy/endpoint_updater.h
@@ -5,7 +5,9 @@
 #include "policy/connection_tracker.h"
 #include "policy/gossip_coordinator.h"
 #include "policy/request_state.h"
+#include "policy/server_health.h"
 #include "policy/server_table.h"
+#include "policy/warmup_admission.h"
 
 namespace headrouter {
 
@@ -15,13 +17,19 @@
    public:
     /// All must outlive it.
     struct Parts {
+        const PolicyConfig& config;
         ServerTable& servers;
+        WarmupAdmission& warmup;
+        ServerHealth& health;
         GossipCoordinator& gossip;
         ConnectionTracker& connections;
         RequestTable& requests;
     };
     explicit EndpointUpdater(const Parts& parts)
-        : servers_(parts.servers),
+        : config_(parts.config),
+          servers_(parts.servers),
+          warmup_(parts.warmup),
+          health_(parts.health),
           gossip_(parts.gossip),
           connections_(parts.connections),
           requests_(parts.requests) {}
@@ -35,7 +43,10 @@
     /// Forgets what was known of the server's last process, and migrates the connections that were at it.
     void replace_process(ServerIndex server);
 
+    const PolicyConfig& config_;
     ServerTable& servers_;
+    WarmupAdmission& warmup_;
+    ServerHealth& health_;
     GossipCoordinator& gossip_;
     ConnectionTracker& connections_;
     RequestTable& requests_;
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -2,10 +2,30 @@
 
 #include <algorithm>
 
+#include "policy/eligibility.h"
 #include "policy/retry_policy.h"
 
 namespace headrouter {
 
+namespace {
+
+/// Below this, the servers that have a share have no weight to share by.
+constexpr double negligible_weight = 1e-9;
+
+/// Counted among the servers heard of beyond those in use, so that one or two do not stand for the fleet.
+constexpr double least_heard = 1;
+/// So many slow servers are much of the fleet, if they are also more than this part of those heard of.
+constexpr int fewest_mostly_slow = 3;
+constexpr double least_part_mostly_slow = 0.25;
+
+/// The server no longer counts among the sound ones.
+void leave_out(FleetView& fleet, const ServerState& server) {
+    fleet.counted_weight -= server.weight;
+    --fleet.open_servers;
+}
+
+}  // namespace
+
 DedupScope FairShares::dedup_scope(const RequestState& request) const {
     if (!request.may_have_run) return DedupScope::all;
     return retry_policy::second_run_scope(config_.request_classes[request.type]);
@@ -19,90 +39,117 @@
 }
 
 FleetView FairShares::view(TimePoint now, const RequestState* request) {
-    servers_.update_degraded(now);
+    degraded_.update(now);
     FleetView fleet = view_in_mode(now, request, false);
     if (fleet.open_servers <= 0 && request) fleet = view_in_mode(now, request, true);
     count_slow(fleet, request);
     return fleet;
 }
 
+double FairShares::share(const FleetView& fleet, ServerIndex index) const {
+    const ServerState& server = servers_[index];
+    if (server.degraded_index) return fleet.degraded[*server.degraded_index].share;
+    return fleet.share_per_weight * server.weight;
+}
+
+bool FairShares::may_take(const FleetView& fleet, const RequestState& request, ServerIndex index) const {
+    const ServerState& server = servers_[index];
+    if (server.degraded_index) return fleet.degraded[*server.degraded_index].is_open;
+    return is_candidate(fleet, &request, index);
+}
+
+bool FairShares::is_candidate(const FleetView& fleet, const RequestState* request, ServerIndex index) const {
+    const ServerState& server = servers_[index];
+    return eligibility::takes_new_requests(server.endpoint.state) && index != fleet.excluded_server &&
+           (!request || is_in_dedup_scope(*request, server));
+}
+
 FleetView FairShares::view_in_mode(TimePoint now, const RequestState* request, bool panic_mode) {
     FleetView fleet;
-    fleet.total_load = servers_.total_load() + (request ? servers_.load_of(*request) : 0);
+    fleet.total_load = loads_.total() + (request ? loads_.load_of(*request) : 0);
     if (request && !request->attempts.empty() && !panic_mode)
         fleet.excluded_server = request->attempts.back().server;
-    double weights = servers_.active_weight();
+    fleet.counted_weight = servers_.active_weight();
     fleet.open_servers = servers_.active_count();
-    const auto leave_out = [&](const ServerState& server) {
-        weights -= server.weight;
-        --fleet.open_servers;
-    };
-    const auto is_candidate = [&](ServerIndex index) {
-        const ServerState& server = servers_[index];
-        return server.endpoint.state == EndpointState::active && index != fleet.excluded_server &&
-               (!request || is_in_dedup_scope(*request, server));
-    };
-    if (fleet.excluded_server && servers_[*fleet.excluded_server].endpoint.state == EndpointState::active)
-        leave_out(servers_[*fleet.excluded_server]);
-    if (request && dedup_scope(*request) != DedupScope::all)
-        for (const ServerIndex index : servers_.indexes())
-            if (servers_[index].endpoint.state == EndpointState::active && index != fleet.excluded_server &&
-                !is_in_dedup_scope(*request, servers_[index]))
-                leave_out(servers_[index]);
-    for (const ServerIndex index : servers_.degraded()) {
+    leave_out_others(fleet, request);
+    for (const ServerIndex index : degraded_.list()) {
         servers_[index].degraded_index = fleet.degraded.size();
-        const bool candidate = is_candidate(index);
-        if (candidate) leave_out(servers_[index]);
-        fleet.degraded.push_back(view_degraded(now, index, request, candidate, panic_mode));
-        weights += fleet.degraded.back().share;
-        fleet.open_servers += fleet.degraded.back().is_open;
+        const bool candidate = is_candidate(fleet, request, index);
+        if (candidate) leave_out(fleet, servers_[index]);
+        const FleetView::DegradedServer server = view_degraded(now, index, request, candidate, panic_mode);
+        fleet.counted_weight += server.weight;
+        if (server.is_open) ++fleet.open_servers;
+        fleet.degraded.push_back(server);
     }
-    distribute(fleet, weights);
+    distribute(fleet);
     return fleet;
 }
 
+// Active servers that are no candidates for the request.
+void FairShares::leave_out_others(FleetView& fleet, const RequestState* request) const {
+    const auto is_active = [&](ServerIndex index) {
+        return eligibility::takes_new_requests(servers_[index].endpoint.state);
+    };
+    if (fleet.excluded_server && is_active(*fleet.excluded_server))
+        leave_out(fleet, servers_[*fleet.excluded_server]);
+    const bool is_bound = request && dedup_scope(*request) != DedupScope::all;
+    if (!is_bound) return;
+    for (const ServerIndex index : servers_.indexes()) {
+        if (!is_active(index) || index == fleet.excluded_server) continue;
+        if (!is_in_dedup_scope(*request, servers_[index])) leave_out(fleet, servers_[index]);
+    }
+}
+
 FleetView::DegradedServer FairShares::view_degraded(TimePoint now, ServerIndex index,
                                                     const RequestState* request, bool is_candidate,
                                                     bool panic_mode) {
     ServerState& server = servers_[index];
-    const bool is_counted = is_candidate && (panic_mode || ServerTable::is_selectable(now, server));
-    const bool is_open =
-        is_counted && (!request || servers_.has_warmup_permit(now, server, servers_.load_of(*request)));
+    const bool is_counted = is_candidate && (panic_mode || eligibility::is_selectable(now, server));
+    const bool is_open = is_counted && (!request || warmup_.admits(now, server, loads_.load_of(*request)));
     double weight = 0;
     if (is_counted)
-        weight = server.weight * servers_.slow_start_factor(now, server) * server.outliers.trust(now);
-    const std::optional<double> limit = servers_.rounded_load_limit(now, server);
-    return {index, servers_.load_on(server), weight, limit, is_counted, is_open};
+        weight = server.weight * warmup_.slow_start_factor(now, server) * server.outliers.trust(now);
+    return {.server = index,
+            .load = loads_.load_on(server),
+            .weight = weight,
+            .share = 0,
+            .load_limit = loads_.rounded_load_limit(now, server),
+            .is_counted = is_counted,
+            .is_open = is_open};
 }
 
-void FairShares::distribute(FleetView& fleet, double weights) {
-    std::vector<FleetView::DegradedServer*> unlimited;
-    for (FleetView::DegradedServer& server : fleet.degraded) unlimited.push_back(&server);
-    double total = fleet.total_load;
-    for (bool is_capped = true; is_capped;) {
-        is_capped = false;
-        fleet.share_per_weight = weights > 1e-9 ? std::max(0.0, total) / weights : 0;
-        std::erase_if(unlimited, [&](FleetView::DegradedServer* server) {
+void FairShares::distribute(FleetView& fleet) {
+    std::vector<FleetView::DegradedServer*> below_limit;
+    for (FleetView::DegradedServer& server : fleet.degraded) below_limit.push_back(&server);
+    double load = fleet.total_load;
+    double weight = fleet.counted_weight;
+    // Each server that its limit cuts leaves more for the others, some of which their limits may cut then.
+    for (bool has_cut = true; has_cut;) {
+        has_cut = false;
+        fleet.share_per_weight = weight > negligible_weight ? std::max(0.0, load) / weight : 0;
+        std::erase_if(below_limit, [&](FleetView::DegradedServer* server) {
             const std::optional<double>& limit = server->load_limit;
-            if (!limit || server->share * fleet.share_per_weight <= *limit) return false;
-            weights -= server->share;
-            total -= *limit;
+            if (!limit || server->weight * fleet.share_per_weight <= *limit) return false;
+            weight -= server->weight;
+            load -= *limit;
             server->share = *limit;
-            is_capped = true;
+            has_cut = true;
             return true;
         });
     }
-    for (FleetView::DegradedServer* server : unlimited) server->share *= fleet.share_per_weight;
+    for (FleetView::DegradedServer* server : below_limit)
+        server->share = server->weight * fleet.share_per_weight;
 }
 
 void FairShares::count_slow(FleetView& fleet, const RequestState* request) const {
-    const double added = request ? servers_.load_of(*request) : 0;
-    double heard = servers_.servers_in_use() + least_heard;
+    const double added = request ? loads_.load_of(*request) : 0;
+    double heard = loads_.servers_in_use() + least_heard;
     for (const FleetView::DegradedServer& server : fleet.degraded) {
         const ServerState& state = servers_[server.server];
         const bool is_over = server.load_limit && server.load + added > *server.load_limit;
-        fleet.slow_servers += server.is_open && !state.load_limit.is_mild() && is_over;
-        heard += server.load_limit && state.connections.empty();
+        if (server.is_open && !state.load_limit.is_mild() && is_over) ++fleet.slow_servers;
+        // Its limit is what this balancer has heard of it.
+        if (server.load_limit && state.connections.empty()) ++heard;
     }
     fleet.slow_part = fleet.slow_servers / heard;
     fleet.is_mostly_slow =
--- /dev/null
+++ b/src/policy/headroom_publisher.cpp
@@ -0,0 +1,51 @@
+#include "policy/headroom_publisher.h"
+
+#include <algorithm>
+#include <vector>
+
+#include "policy/eligibility.h"
+#include "policy/timers.h"
+
+namespace headrouter {
+
+void HeadroomPublisher::configure() {
+    aggregator_.set_replica(static_cast<int>(config_.replica_index), config_.replica_count);
+    const bool is_enabled = config_.gossip_enabled && config_.aggregates_fleet_load;
+    if (is_enabled && !has_timer_) actions_.set_timer(TimePoint{}, timer_token(TimerKind::publish_headroom));
+    has_timer_ = is_enabled;
+}
+
+void HeadroomPublisher::publish(TimePoint now) {
+    if (!has_timer_) return;
+    actions_.set_timer(now + fleet_load::FleetLoadAggregator::tick_interval,
+                       timer_token(TimerKind::publish_headroom));
+    std::vector<gossip::IndexedLoad> own;
+    std::vector<fleet_load::EligibleServer> eligible;
+    for (const ServerIndex index : servers_.indexes()) {
+        const ServerState& server = servers_[index];
+        const gossip::ShortServerId short_id = gossip::ShortServerIds::short_id_of(server.endpoint.server);
+        // A short id that two servers share names neither of them.
+        const bool is_named = short_ids_.find(short_id) == index;
+        if (!is_named || !eligibility::takes_new_requests(server.endpoint.state)) continue;
+        eligible.push_back({index, short_id, ServerTable::listed_weight(server)});
+        if (is_troubled(now, server))
+            own.push_back({index, gossip::degraded_marker});
+        else if (!server.connections.empty())
+            own.push_back({index, loads_.load_on(server)});
+    }
+    for (const auto& message : aggregator_.tick(now, now + config_.wall_clock_offset, own, eligible))
+        actions_.send_gossip(message.replica_index, message.bytes);
+}
+
+void HeadroomPublisher::on_message(TimePoint now, int replica, const gossip::Message& message) {
+    if (config_.aggregates_fleet_load) aggregator_.on_message(now, replica, message);
+}
+
+bool HeadroomPublisher::is_troubled(TimePoint now, const ServerState& server) const {
+    if (server.outliers.is_failing()) return true;
+    if (server.load_limit.is_mild()) return false;
+    const std::optional<double> limit = loads_.load_limit(now, server);
+    return limit && *limit < std::max(loads_.load_on(server), loads_.full_share(server));
+}
+
+}  // namespace headrouter
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -1,4 +1,4 @@
-// The load above which one server is known to answer slowly.
+/// The load above which one server is known to answer slowly.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -10,8 +10,14 @@
 
 struct StateAccess;
 
-/// Finds one server's load limit from the latency it reports and from connections that it drops, and lets the
-/// limit rise again over time. Loads are in mean load units, of this balancer's connections alone.
+/// Finds one server's load limit from the latency that it reports and from the connections that it drops, and
+/// lets the limit rise again over time.
+///
+/// Latency is work that has piled up: its growth in a second is what the server was asked beyond what it can
+/// do. Every balancer hears the same latency and migrates the same part of its connections off, so none needs
+/// to know what the others have there.
+///
+/// Loads are in mean load units, of this balancer's connections alone.
 class LoadLimit {
    public:
     /// What this balancer has on the server as a latency report arrives.
@@ -26,15 +32,13 @@
         int connections = 0;
     };
 
-    /// The server's messages were last answered after `latency` seconds; the strictest latency objective of
-    /// any class is `objective`. Draws up to two numbers of `random`, both only if the server is slow.
-    /// Latency is work piled up: its growth in a second is what the server was asked beyond what it can do.
-    /// Every balancer hears the same and migrates the same part off, so nobody needs to know the others'
-    /// counts.
-    Surplus on_latency_report(TimePoint now, double latency, Duration objective, const Usage&, Pcg32& random);
-    /// The server dropped a connection: it gets no more than the load it has now. A server that is asked too
-    /// much drops its newest connections; whoever held only those would hear no more of it and send them
-    /// there again.
+    /// The server's messages last took `latency_seconds`; `objective` is the strictest message objective of
+    /// any request class. Draws two numbers of `random` if the server is slow, none otherwise.
+    Surplus on_latency_report(TimePoint now, double latency_seconds, Duration objective, const Usage&,
+                              Pcg32& random);
+    /// The server dropped a connection and is left with `load`, which becomes its limit. A server that is
+    /// asked too much drops its newest connections; a balancer that had only those gets no more latency
+    /// reports from it, and would send them there again.
     void on_reset(TimePoint now, double load, double full_share);
     /// Another process has taken the server's place.
     void lift() { limit_.reset(); }
@@ -44,7 +48,9 @@
     /// False where at() has none whatever the server's full share, which need not be summed up then. Sums of
     /// loads that came and went can end just below zero: such a limit is none.
     bool is_set() const { return limit_ && *limit_ >= 0; }
-    /// The random part, added to a limit, that rounds the sum over all balancers for whole connections.
+    /// A random part of a connection, added to the limit. Many balancers have one connection or none on a
+    /// server; rounded by chance, their whole connections add up to what the server can do, while all rounded
+    /// down would leave it empty.
     double rounding() const { return rounding_; }
     /// Whether the last latency was short and no longer than the one before: load has no part in it.
     bool is_mild() const { return is_mild_; }
@@ -52,21 +58,35 @@
    private:
     friend struct StateAccess;
     friend struct PolicyInspector;
-    // The part of the latency objective from which a server counts as slow.
+
+    /// A server is slow from this part of the message objective on.
     static constexpr double slow_part_of_objective = 0.8;
-    // The use of a server's cores that is aimed at, the least of it, and the seconds in which a backlog is
-    // to go.
-    static constexpr double target_utilization = 0.85, least_utilization = 0.3, backlog_time = 5;
-    // A latency up to so many times the last one does not grow; the part of its share that a server keeps
-    // then.
-    static constexpr double steady_growth = 1.05, mild_part_of_share = 0.7;
-    // Reports further apart than this, in seconds, give no slope; closer ones are taken for this far apart.
-    static constexpr double longest_gap = 2.5, shortest_gap = 0.2;
-    // Of its capacity, what a server may be found to be asked for.
-    static constexpr double least_asked = 0.5, most_asked = 2.5;
-    // A limit rises by this part of the server's full share a second, and ends after so many seconds.
-    static constexpr double growth_per_second = 0.04, limit_lifetime = 30;
+    /// The part of a server's capacity that is to be used while it has no backlog.
+    static constexpr double target_utilization = 0.85;
+    /// The least part of it, however long the backlog.
+    static constexpr double least_utilization = 0.3;
+    /// A backlog is to be worked off within this time.
+    static constexpr Duration backlog_time = seconds(5);
+    /// A latency up to so many times the one before has not grown.
+    static constexpr double steady_growth = 1.05;
+    /// The part of its full share that a mild server keeps.
+    static constexpr double mild_part_of_share = 0.7;
+    /// Reports further apart than this say nothing of how latency grows.
+    static constexpr Duration longest_gap = seconds(2.5);
+    /// Reports closer together than this count as this far apart.
+    static constexpr Duration shortest_gap = seconds(0.2);
+    /// What a server may be found to be asked, as parts of its capacity.
+    static constexpr double least_demand = 0.5;
+    static constexpr double most_demand = 2.5;
+    /// The part of the server's full share by which its limit rises each second.
+    static constexpr double growth_per_second = 0.04;
+    /// A limit ends after this time.
+    static constexpr Duration limit_lifetime = seconds(30);
 
+    /// What the server was asked since the last report, as a part of its capacity.
+    double demand(TimePoint now, double latency_seconds) const;
+    /// The part of its capacity that the server should be asked for a while, so that its backlog goes.
+    static double wanted_utilization(double latency_seconds);
     /// Sets the limit to `load`, unless it is lower already.
     void lower_to(TimePoint now, double load, double full_share);
 
--- /dev/null
+++ b/src/policy/location_publisher.cpp
@@ -0,0 +1,86 @@
+#include "policy/location_publisher.h"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+#include "base/hash.h"
+#include "policy/eligibility.h"
+#include "policy/timers.h"
+
+namespace headrouter {
+
+namespace {
+
+/// What a new request earns, in bytes over all balancers that read them.
+constexpr double credit_per_request = 60;
+/// What one location costs each balancer that reads it, with its part of the message.
+constexpr double bytes_per_location = 12;
+/// A location is published again after so long.
+constexpr Duration republished_after = seconds(60);
+/// Soon, as a crowd comes back within a second; but by chance, so that few balancers publish the same.
+constexpr Duration published_within = seconds(0.05);
+/// A published location counts for so long.
+constexpr Duration location_lifetime = seconds(120);
+
+uint32_t short_hash(const std::string& group) {
+    return static_cast<uint32_t>(hash_of(group) % gossip::group_modulus);
+}
+
+}  // namespace
+
+void LocationPublisher::earn_credit() { credit_ = std::min(credit_ + credit_per_request, most_credit); }
+
+void LocationPublisher::on_group_placed(TimePoint now, const std::string& group, ServerIndex server) {
+    if (!config_.gossip_enabled || group.empty()) return;
+    gossip::GroupLocation& location = locations_.find_or_add(short_hash(group), server);
+    if (location.announcement_pending || now - location.announced_at < republished_after) return;
+    location.announced_at = now;
+    if (is_first_choice(now, group, server)) return;
+    location.announcement_pending = true;
+    unpublished_.push_back({short_hash(group), server});
+    if (has_timer_) return;
+    has_timer_ = true;
+    actions_.set_timer(now + published_within * random_.uniform(), timer_token(TimerKind::publish_locations));
+}
+
+bool LocationPublisher::is_first_choice(TimePoint now, const std::string& group, ServerIndex server) {
+    const std::vector<ServerIndex>& order = rankings_.of(group, servers_).order;
+    const auto first = std::find_if(order.begin(), order.end(), [&](ServerIndex index) {
+        return eligibility::is_selectable(now, servers_[index]);
+    });
+    return first != order.end() && *first == server;
+}
+
+void LocationPublisher::publish() {
+    has_timer_ = false;
+    const double cost = bytes_per_location * (config_.replica_count - 1);
+    const std::vector<gossip::GroupPlacement> waiting = std::exchange(unpublished_, {});
+    std::vector<gossip::GroupLocationRow> rows;
+    for (const auto& [group, server] : locations_.take_affordable(waiting, credit_, cost)) {
+        const ServerId& id = servers_[server].endpoint.server;
+        rows.push_back({group, gossip::ShortServerIds::short_id_of(id)});
+    }
+    if (!rows.empty()) actions_.send_gossip(everyone_else, gossip::encode_group_locations(rows));
+}
+
+void LocationPublisher::on_published(TimePoint now, const std::vector<gossip::GroupLocationRow>& rows) {
+    for (const gossip::GroupLocationRow& row : rows) {
+        const std::optional<ServerIndex> server = short_ids_.find(row.server);
+        if (!server) continue;
+        locations_.find_or_add(row.group, *server) = {
+            .server = *server, .received_at = now, .announced_at = now, .announcement_pending = false};
+    }
+}
+
+const std::vector<gossip::GroupLocation>& LocationPublisher::locations_of(const std::string& group) const {
+    static const std::vector<gossip::GroupLocation> none;
+    return config_.gossip_enabled ? locations_.locations_of(short_hash(group)) : none;
+}
+
+bool LocationPublisher::is_current(TimePoint now, const gossip::GroupLocation& location) {
+    const bool is_published = location.received_at.ns > 0;
+    return is_published && now - location.received_at < location_lifetime;
+}
+
+}  // namespace headrouter
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -1,5 +1,8 @@
 #include "policy/outlier_detector.h"
 
+#include <algorithm>
+#include <cmath>
+
 namespace headrouter {
 
 void OutlierDetector::on_failure(TimePoint now, double penalty) {
@@ -41,9 +44,14 @@
     return ejected;
 }
 
-bool OutlierDetector::is_selectable(TimePoint now, int pending_attempts) const {
+bool OutlierDetector::allows_attempt(TimePoint now, int pending_attempts) const {
     if (is_ejected(now) || is_in_backoff(now)) return false;
-    return !is_failing() || pending_attempts == 0;
+    const bool is_probed = is_failing() && pending_attempts > 0;
+    return !is_probed;
+}
+
+double OutlierDetector::failure_penalty(TimePoint now) const {
+    return failure_penalty_ * std::exp2(-((now - penalty_at_) / penalty_half_life));
 }
 
 bool OutlierDetector::is_clear(TimePoint now) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,7 +1,5 @@
-// Outlier detection: what the attempts sent to one server tell of its health.
+/// Outlier detection: what the attempts sent to one server tell of its health.
 #pragma once
-#include <algorithm>
-#include <cmath>
 #include <cstddef>
 
 #include "base/time.h"
@@ -10,13 +8,20 @@
 
 struct StateAccess;
 
-/// The failure history of one server. After a failure the server gets nothing for a short backoff and then
-/// less than its share until the failure penalty has faded; it is ejected for longer when it keeps almost
-/// nothing of what it is sent over a whole rebalance cycle.
+/// The failure history of one server.
+///
+/// | after                                   | the server gets                    | until | |
+/// --------------------------------------- | ---------------------------------- |
+/// ---------------------------- | | a failed attempt or a reset             | nothing | its backoff ends | |
+/// the backoff                             | one probing attempt at a time      | an attempt is established |
+/// | any failure                             | less of its share, by the penalty  | the penalty has faded |
+/// | a cycle in which it kept almost nothing | nothing                            | its ejection ends |
 class OutlierDetector {
    public:
-    /// Of a failed attempt. One of full load says less about a server than one that was lost.
-    static constexpr double penalty_failed = 1, penalty_at_capacity = 0.5;
+    /// The penalty of an attempt that was lost.
+    static constexpr double penalty_failed = 1;
+    /// The penalty of an attempt that a full server rejected, which says less of its health.
+    static constexpr double penalty_at_capacity = 0.5;
 
     /// An attempt failed: adds `penalty` and starts the next, longer backoff.
     void on_failure(TimePoint now, double penalty);
@@ -33,14 +38,12 @@
     /// Judges what was sent and lost since the last call. True where the server is ejected for it.
     bool end_cycle(TimePoint now);
 
-    /// Whether the server may get a new attempt. One whose last attempts failed gets one probe at a time.
-    bool is_selectable(TimePoint now, int pending_attempts) const;
-    /// Whether nothing of its failures counts any more, so that it needs no look of its own.
+    /// Whether the server's failures let it have a new attempt, while it has `pending_attempts`.
+    bool allows_attempt(TimePoint now, int pending_attempts) const;
+    /// Whether no failure counts any more, so that the server needs no look of its own.
     bool is_clear(TimePoint now) const;
     /// Failures in a row, each fading with a half-life of some seconds; 0 for none.
-    double failure_penalty(TimePoint now) const {
-        return failure_penalty_ * std::exp2(-((now - penalty_at_) / penalty_half_life));
-    }
+    double failure_penalty(TimePoint now) const;
     /// The part of its share that the server gets, between 0 and 1.
     double trust(TimePoint now) const { return 1 / (1 + failure_penalty(now)); }
     bool is_failing() const { return consecutive_failures_ > 0; }
@@ -50,27 +53,38 @@
    private:
     friend struct StateAccess;
     friend struct PolicyInspector;
-    // A reset costs half of a failed attempt, and an established attempt wins as much back.
-    static constexpr double penalty_reset = 0.5, penalty_forgiven = 0.5, largest_penalty = 8;
+
+    /// The penalty of a reset connection.
+    static constexpr double penalty_reset = 0.5;
+    /// What an established attempt takes off the penalty.
+    static constexpr double penalty_forgiven = 0.5;
+    static constexpr double largest_penalty = 8;
+    /// A server with less than this counts as sound.
     static constexpr double negligible_penalty = 0.02;
-    // The first backoff is doubled with each failure in a row, up to the longest.
-    static constexpr Duration first_backoff = seconds(0.4), longest_backoff = seconds(3);
+    static constexpr Duration penalty_half_life = seconds(4);
+
+    /// Doubled with each further failure in a row.
+    static constexpr Duration first_backoff = seconds(0.4);
+    static constexpr Duration longest_backoff = seconds(3);
     static constexpr int most_failures_counted = 10;
-    // Resets that follow one another within this time are those of one crash.
+
+    /// Resets that follow one another within this time are those of one crash.
     static constexpr Duration crash_window = seconds(1);
     static constexpr int fewest_resets_of_crash = 2;
-    // Design 7: a server that keeps less than a tenth of twenty attempts or more is out for three cycles.
+
+    /// A cycle with fewer attempts does not judge a server.
     static constexpr int fewest_sent_to_judge = 20;
+    /// The part of its attempts that a server has to keep.
     static constexpr double least_kept = 0.1;
     static constexpr Duration ejection_time = seconds(30);
 
-    static constexpr Duration penalty_half_life = seconds(4);
-
     double failure_penalty_ = 0;  // as of penalty_at_
     TimePoint penalty_at_;
     int consecutive_failures_ = 0;
-    TimePoint backoff_until_, ejected_until_;
-    int sent_in_cycle_ = 0, lost_in_cycle_ = 0;
+    TimePoint backoff_until_;
+    TimePoint ejected_until_;
+    int sent_in_cycle_ = 0;
+    int lost_in_cycle_ = 0;
     int consecutive_resets_ = 0;
     TimePoint reset_at_;
 };
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -2,18 +2,38 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 
+#include "policy/eligibility.h"
 #include "policy/timers.h"
 
 namespace headrouter {
 
+namespace {
+
+/// From a cycle's begin until saturated servers are drained, so that its first arrivals are placed before.
+constexpr Duration drain_grace = seconds(0.5);
+/// A smaller excess is left alone, in mean load units: where shares are below one connection, a few members
+/// of one group together are an excess on any server.
+constexpr double least_excess = 10;
+/// Migrations a cycle off a server that is drained. More would empty it where each balancer has a handful
+/// of connections on a server.
+constexpr int fewest_migrations = 1;
+
+/// The load that a server has with a group, whatever its members, in mean load units.
+constexpr double group_load = 4;
+/// How much less the migration of a protected connection is worth, in mean load units.
+constexpr double protection_cost = group_load * 4;
+
+}  // namespace
+
 void RebalanceCycle::start(TimePoint now) {
     actions_.set_timer(cycle_clock::next_cycle(now), timer_token(TimerKind::cycle_begins));
 }
 
 void RebalanceCycle::begin(TimePoint now) {
     eject_outliers(now);
-    servers_.update_warm_weight();
+    warmup_.on_cycle();
     actions_.set_timer(now + drain_grace, timer_token(TimerKind::plan_migrations));
     start(now);
 }
@@ -22,7 +42,7 @@
     bool any_ejected = false;
     for (const ServerIndex index : servers_.indexes()) {
         if (!servers_[index].outliers.end_cycle(now)) continue;
-        servers_.mark_degraded(index);
+        degraded_.mark(index);
         any_ejected = true;
     }
     if (!any_ejected) return;
@@ -36,24 +56,27 @@
 void RebalanceCycle::plan_migrations(TimePoint now) {
     const FleetView fleet = shares_.view(now, nullptr);
     for (const ServerIndex index : servers_.indexes()) {
-        ServerState& server = servers_[index];
+        const ServerState& server = servers_[index];
         const bool has_share = server.degraded_index ? fleet.degraded[*server.degraded_index].is_counted
-                                                     : server.endpoint.state == EndpointState::active;
-        if (!has_share) continue;
-        const double load = servers_.load_on(server);
-        const double share = shares_.share(fleet, index);
-        const double excess = load - share;
-        const bool is_balanced = load <= share * saturation_band;
-        if (is_balanced) server.drain.set_protected_first(true);  // their protection has ended
-        if (is_balanced || excess < least_excess) continue;
-        const double largest = server.drain.record_excess(now, excess);
-        const int migrations = std::max(
-            fewest_migrations, static_cast<int>(std::ceil(largest / cycle_clock::cycles_remembered)));
-        start_drain(now, index, std::min<double>(migrations, excess), migrations,
-                    cycle_clock::active_time - drain_grace);
+                                                     : eligibility::takes_new_requests(server.endpoint.state);
+        if (has_share) plan_drain(now, index, shares_.share(fleet, index));
     }
 }
 
+void RebalanceCycle::plan_drain(TimePoint now, ServerIndex index, double share) {
+    ServerState& server = servers_[index];
+    const double load = loads_.load_on(server);
+    const double excess = load - share;
+    const bool is_balanced = load <= share * saturation_band;
+    if (is_balanced) server.drain.set_protected_first(true);  // their protection has ended
+    if (is_balanced || excess < least_excess) return;
+    const double largest = server.drain.record_excess(now, excess);
+    const double part_of_cycle = largest / cycle_clock::cycles_remembered;
+    const int migrations = std::max(fewest_migrations, static_cast<int>(std::ceil(part_of_cycle)));
+    const double surplus = std::min<double>(migrations, excess);
+    start_drain(now, index, surplus, migrations, cycle_clock::active_time - drain_grace);
+}
+
 void RebalanceCycle::start_drain(TimePoint now, ServerIndex server, double load, int steps,
                                  Duration duration) {
     const auto first = servers_[server].drain.start(now, load, steps, duration, random_);
@@ -73,14 +96,14 @@
 }
 
 RequestId RebalanceCycle::select_migration(TimePoint now, const ServerState& server) {
-    const size_t n = server.connections.size();
-    const auto first = static_cast<size_t>(random_.uniform() * static_cast<double>(n));
-    const std::optional<double> limit = servers_.rounded_load_limit(now, server);
-    const bool is_slow = limit && *limit < servers_.load_on(server);
+    const size_t count = server.connections.size();
+    const auto first = static_cast<size_t>(random_.uniform() * static_cast<double>(count));
+    const std::optional<double> limit = loads_.rounded_load_limit(now, server);
+    const bool is_slow = limit && *limit < loads_.load_on(server);
     const RequestState* best = nullptr;
     double most_freed = 0;
-    for (size_t k = 0; k < n; ++k) {
-        const RequestState& request = requests_.at(server.connections[(first + k) % n]);
+    for (size_t k = 0; k < count; ++k) {
+        const RequestState& request = requests_.at(server.connections[(first + k) % count]);
         if (request.attempts.empty() || !request.attempts.back().established) continue;
         if (request.is_protected && server.drain.protected_go_first()) return request.id;
         if (request.is_protected && !is_slow) continue;
@@ -93,7 +116,7 @@
 }
 
 double RebalanceCycle::load_freed_by(const RequestState& request, const ServerState& server) const {
-    const double freed = std::min(servers_.load_of(request), server.drain.remaining());
+    const double freed = std::min(loads_.load_of(request), server.drain.remaining());
     if (request.group.empty()) return freed;
     return freed + group_load / groups_.members_on(request.group, request.attempts.back().server);
 }
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -1,24 +1,32 @@
-// The rebalance cycle (design 4 to 7): once a cycle outliers are ejected, and servers above their share have
-// a surplus migrated off during the cycle's active phase.
+/// The rebalance cycle: once a cycle outliers are ejected, and servers above their share have a surplus
+/// migrated off during the cycle's active phase.
 #pragma once
 #include "affinity/group_table.h"
 #include "base/pcg32.h"
+#include "policy/degraded_servers.h"
 #include "policy/fair_shares.h"
 #include "policy/policy_actions.h"
 #include "policy/request_state.h"
+#include "policy/server_loads.h"
+#include "policy/warmup_admission.h"
 
 namespace headrouter {
 
 /// Decides which connections are migrated off which server, and when. The migrations themselves are up to the
 /// caller: for each migrate_next timer select(), then migrate the connection, then on_migrated().
+///
+/// Loads are in mean load units.
 class RebalanceCycle {
    public:
-    /// A server is saturated above so many times its share (design 2).
+    /// A server is saturated above so many times its share.
     static constexpr double saturation_band = 1.05;
 
     /// All must outlive it.
     struct Parts {
         ServerTable& servers;
+        const ServerLoads& loads;
+        WarmupAdmission& warmup;
+        DegradedServers& degraded;
         FairShares& shares;
         const GroupTable& groups;
         RequestTable& requests;
@@ -27,6 +35,9 @@
     };
     explicit RebalanceCycle(const Parts& parts)
         : servers_(parts.servers),
+          loads_(parts.loads),
+          warmup_(parts.warmup),
+          degraded_(parts.degraded),
           shares_(parts.shares),
           groups_(parts.groups),
           requests_(parts.requests),
@@ -43,34 +54,29 @@
     /// Finds the servers above their share and starts to drain their surplus.
     void plan_migrations(TimePoint now);
     /// Migrates `load` off a server in about so many steps within `duration`.
-    void start_drain(TimePoint now, ServerIndex server, double load, int steps, Duration duration);
+    void start_drain(TimePoint now, ServerIndex, double load, int steps, Duration duration);
 
     /// The next connection to migrate off the server; zero: none, and the drain has ended.
-    RequestId select(TimePoint now, ServerIndex server);
+    RequestId select(TimePoint now, ServerIndex);
     /// The selected connection, of that load, was migrated.
-    void on_migrated(TimePoint now, ServerIndex server, double load);
+    void on_migrated(TimePoint now, ServerIndex, double load);
 
    private:
     friend struct PolicyInspector;
-    // The grace from a cycle's begin until saturated servers are drained (design 5).
-    static constexpr Duration drain_grace = seconds(0.5);
-    // Design 5. Ten clients a cycle would empty a server of which one balancer has a handful. The floor, in
-    // mean load units, is against groups: a few of one together are an excess wherever the share is under
-    // one connection.
-    static constexpr double least_excess = 10;
-    static constexpr int fewest_migrations = 1;
-    // The work that a server has with a group, whatever its members, in mean load units.
-    static constexpr double group_load = 4;
-    // How much less the migration of a protected connection is worth, in the same units.
-    static constexpr double protection_cost = group_load * 4;
-    /// Protected connections stay until their server is balanced and go first after that (design 6). Of the
-    /// others the one that frees most work, as migrations have a price. Protection is from balancing: on a
-    /// slow server it only means going last, as there nobody is served (i14adcf).
+    /// Starts to drain the server if it is too far above `share`.
+    void plan_drain(TimePoint now, ServerIndex, double share);
+    /// Protected connections stay until their server is balanced and go first after that. Of the others, the
+    /// one that frees most load goes, as each migration has a price. Protection is from balancing: on a slow
+    /// server, where nobody is served well, it only means going last.
     RequestId select_migration(TimePoint now, const ServerState&);
-    /// More than the surplus is no gain. A group's last member takes the group's own work along.
+    /// What the server gains by the connection's end. More than the surplus is no gain; a group's last member
+    /// takes the group's own load along.
     double load_freed_by(const RequestState&, const ServerState&) const;
 
     ServerTable& servers_;
+    const ServerLoads& loads_;
+    WarmupAdmission& warmup_;
+    DegradedServers& degraded_;
     FairShares& shares_;
     const GroupTable& groups_;
     RequestTable& requests_;
--- a/src/policy/request_pipeline.cpp
+++ b/src/policy/request_pipeline.cpp
@@ -27,6 +27,9 @@
 RequestPipeline::RequestPipeline(const Parts& parts)
     : config_(parts.config),
       servers_(parts.servers),
+      loads_(parts.loads),
+      warmup_(parts.warmup),
+      health_(parts.health),
       shares_(parts.shares),
       failovers_(parts.failovers),
       gossip_(parts.gossip),
@@ -89,7 +92,7 @@
     const FleetView fleet = shares_.view(now, &request);
     if (fleet.open_servers == 0) return {PickResult::Queue{}};
 
-    const double load = servers_.load_of(request);
+    const double load = loads_.load_of(request);
     const bool is_back_in_pause = failover && !failover->is_parked && cycle_clock::is_paused(now);
     std::optional<ServerIndex> failed_server;
     if (is_back_in_pause) failed_server = failover->server;
@@ -100,7 +103,7 @@
     const std::optional<ServerIndex> server = placement_.choose(context);
     if (!server) return give_up(request);
 
-    const double load_then = servers_.load_on(servers_[*server]) + load;
+    const double load_then = loads_.load_on(servers_[*server]) + load;
     const double share = shares_.share(fleet, *server);
     request.is_protected = is_back_in_pause && load_then > share * RebalanceCycle::saturation_band;
     return {PickResult::Complete{*server}};
@@ -136,7 +139,7 @@
     request.attempts.push_back(Attempt{server, now, true, false});
     ++state.pending_attempts;
     state.outliers.count_sent();
-    if (servers_.is_cold(now, state)) state.slow_start.use_permit();
+    warmup_.on_attempt_sent(now, state);
     connections_.add(server, request);
     actions_.start_attempt(request.id, state.endpoint.server, timeout);
 }
@@ -177,7 +180,7 @@
         case AttemptOutcome::reset: early_resets_.on_reset(now, attempt.sent); break;
         default: break;
     }
-    servers_.record_reset(now, attempt.server);
+    health_.record_reset(now, attempt.server);
 }
 
 void RequestPipeline::record_setup_failure(TimePoint now, const RequestState& request,
@@ -190,7 +193,7 @@
     if (attempt.sent >= cycle_clock::cycle_start(now)) servers_[attempt.server].outliers.count_lost();
     const bool was_full = end.outcome == AttemptOutcome::at_capacity;
     const double penalty = was_full ? OutlierDetector::penalty_at_capacity : OutlierDetector::penalty_failed;
-    servers_.record_failure(now, attempt.server, penalty);
+    health_.record_failure(now, attempt.server, penalty);
     failovers_.record(now, request.key, attempt.server, false);
 }
 
--- a/src/policy/request_pipeline.h
+++ b/src/policy/request_pipeline.h
@@ -12,7 +12,10 @@
 #include "policy/policy_actions.h"
 #include "policy/request_queue.h"
 #include "policy/request_state.h"
+#include "policy/server_health.h"
+#include "policy/server_loads.h"
 #include "policy/server_table.h"
+#include "policy/warmup_admission.h"
 #include "retry/early_reset_rate.h"
 #include "retry/retry_budget.h"
 
@@ -52,6 +55,9 @@
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
+        const ServerLoads& loads;
+        const WarmupAdmission& warmup;
+        ServerHealth& health;
         FairShares& shares;
         FailoverTable& failovers;
         const GossipCoordinator& gossip;
@@ -97,6 +103,9 @@
 
     const PolicyConfig& config_;
     ServerTable& servers_;
+    const ServerLoads& loads_;
+    const WarmupAdmission& warmup_;
+    ServerHealth& health_;
     FairShares& shares_;
     FailoverTable& failovers_;
     const GossipCoordinator& gossip_;
--- a/src/policy/surplus_drain.h
+++ b/src/policy/surplus_drain.h
@@ -36,7 +36,8 @@
     SlidingWindow<cycle_clock::cycles_remembered> excess_{cycle_clock::cycle_time};
     double remaining_ = 0;
     Duration interval_;
-    bool is_active_ = false, protected_go_first_ = false;
+    bool is_active_ = false;
+    bool protected_go_first_ = false;
 };
 
 }  // namespace headrouter
--- /dev/null
+++ b/src/policy/warmup_admission.cpp
@@ -0,0 +1,55 @@
+#include "policy/warmup_admission.h"
+
+#include <algorithm>
+
+#include "policy/eligibility.h"
+
+namespace headrouter {
+
+namespace {
+/// The most that the warm weight falls to within a cycle, and the inverse of the most that it rises to.
+constexpr double weight_kept_per_cycle = 0.9;
+}  // namespace
+
+bool WarmupAdmission::is_cold(TimePoint now, const ServerState& server) const {
+    return server.slow_start.is_cold(now, config_.slow_start_time);
+}
+
+double WarmupAdmission::slow_start_factor(TimePoint now, const ServerState& server) const {
+    return server.slow_start.factor(now, config_.slow_start_time);
+}
+
+bool WarmupAdmission::admits(TimePoint now, ServerState& server, double load) const {
+    if (!is_cold(now, server)) return true;
+    return server.slow_start.has_permit(now, load, config_.slow_start_config(), warm_capacity(server, load),
+                                        server.id_hash);
+}
+
+void WarmupAdmission::on_attempt_sent(TimePoint now, ServerState& server) const {
+    if (is_cold(now, server)) server.slow_start.use_permit();
+}
+
+double WarmupAdmission::warm_capacity(const ServerState& server, double load) const {
+    // Without a quota, the others are taken to have as much as this balancer.
+    const double fleet_load =
+        config_.quota > 0 ? config_.quota : std::max(loads_.total(), load) * config_.replica_count;
+    return fleet_load * ServerTable::listed_weight(server) / warm_weight_;
+}
+
+void WarmupAdmission::on_endpoints(TimePoint now) {
+    double cold_weight = 0;
+    for (const ServerState& server : servers_.all()) {
+        if (!eligibility::takes_new_requests(server.endpoint.state)) continue;
+        if (is_cold(now, server)) cold_weight += ServerTable::listed_weight(server);
+    }
+    // Of a fleet that the cold servers replace nothing is known at the first update.
+    const double replaced_weight = servers_.is_first_update() ? 0 : cold_weight;
+    warm_weight_ = std::max(warm_weight_, servers_.active_listed_weight() - replaced_weight);
+}
+
+void WarmupAdmission::on_cycle() {
+    warm_weight_ = std::clamp(servers_.active_listed_weight(), warm_weight_ * weight_kept_per_cycle,
+                              warm_weight_ / weight_kept_per_cycle);
+}
+
+}  // namespace headrouter
--- a/tests/policy/test_connection_tracker.cpp
+++ b/tests/policy/test_connection_tracker.cpp
@@ -25,12 +25,12 @@
    protected:
     ConnectionTrackerTest() {
         config_.request_classes.resize(1);
-        servers_.configure();
+        loads_.configure();
         servers_.begin_update();
         Endpoint endpoint;
         endpoint.server = "a";
         server_ = servers_.apply(endpoint).server;
-        servers_.end_update(TimePoint{1}, true);
+        servers_.end_update(true);
     }
 
     RequestState& connect(RequestId id) {
@@ -44,11 +44,12 @@
 
     PolicyConfig config_;
     ServerTable servers_{config_};
+    ServerLoads loads_{config_, servers_};
     decltype(ServerTable::Applied::server) server_{};
     GroupTable groups_;
     RequestTable requests_;
     MigrationRecorder actions_;
-    ConnectionTracker connections_{{servers_, groups_, requests_, actions_}};
+    ConnectionTracker connections_{{loads_, groups_, requests_, actions_}};
 };
 
 TEST_F(ConnectionTrackerTest, AnAddedConnectionCountsAtItsServerAndInItsGroup) {
--- a/tests/policy/test_outlier_detector.cpp
+++ b/tests/policy/test_outlier_detector.cpp
@@ -27,7 +27,7 @@
 
 TEST(OutlierDetector, ASoundServerIsSelectableAndClear) {
     const OutlierDetector detector;
-    EXPECT_TRUE(detector.is_selectable(start, 5));
+    EXPECT_TRUE(detector.allows_attempt(start, 5));
     EXPECT_TRUE(detector.is_clear(start));
     EXPECT_EQ(detector.trust(start), 1);
 }
@@ -44,14 +44,14 @@
 TEST(OutlierDetector, AFailingServerGetsOneProbeAtATime) {
     const OutlierDetector detector = failed_times(1);
     const TimePoint after_backoff = start + seconds(1);
-    EXPECT_TRUE(detector.is_selectable(after_backoff, 0));
-    EXPECT_FALSE(detector.is_selectable(after_backoff, 1));
+    EXPECT_TRUE(detector.allows_attempt(after_backoff, 0));
+    EXPECT_FALSE(detector.allows_attempt(after_backoff, 1));
 }
 
 TEST(OutlierDetector, AnEstablishedAttemptEndsTheBackoffAndForgivesHalfAFailure) {
     OutlierDetector detector = failed_times(1);
     detector.on_established(start);
-    EXPECT_TRUE(detector.is_selectable(start, 3));
+    EXPECT_TRUE(detector.allows_attempt(start, 3));
     EXPECT_EQ(detector.failure_penalty(start), 0.5);
     EXPECT_FALSE(detector.is_clear(start));
 }
@@ -79,8 +79,8 @@
     ended_cycle(19, 19, false);
     ended_cycle(20, 18, false);
     OutlierDetector detector = ended_cycle(20, 19, true);
-    EXPECT_FALSE(detector.is_selectable(start + millis(29'999), 0));
-    EXPECT_TRUE(detector.is_selectable(start + seconds(30), 0));
+    EXPECT_FALSE(detector.allows_attempt(start + millis(29'999), 0));
+    EXPECT_TRUE(detector.allows_attempt(start + seconds(30), 0));
     EXPECT_FALSE(detector.end_cycle(start));  // the counts began anew
 }
 
@@ -88,6 +88,6 @@
     OutlierDetector detector = ended_cycle(20, 20, true);
     detector.on_failure(start, OutlierDetector::penalty_at_capacity);
     detector.on_restart();
-    EXPECT_TRUE(detector.is_selectable(start, 1));
+    EXPECT_TRUE(detector.allows_attempt(start, 1));
     EXPECT_TRUE(detector.is_clear(start));
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -80,19 +80,19 @@
         return server(id).outliers.failure_penalty(now);
     }
     void record_failure(TimePoint now, const ServerId& id) {
-        policy.servers_.record_failure(now, index(id), 1);
+        policy.health_.record_failure(now, index(id), 1);
     }
     bool is_selectable(TimePoint now, const ServerId& id) {
-        return ServerTable::is_selectable(now, server(id));
+        return eligibility::is_selectable(now, server(id));
     }
 
     // Its load, its limit and its slow start.
-    double load(const ServerId& id) { return policy.servers_.load_on(server(id)); }
+    double load(const ServerId& id) { return policy.loads_.load_on(server(id)); }
     double load_limit(TimePoint now, const ServerId& id) {
-        return policy.servers_.rounded_load_limit(now, server(id)).value();
+        return policy.loads_.rounded_load_limit(now, server(id)).value();
     }
     bool has_load_limit(TimePoint now, const ServerId& id) {
-        return policy.servers_.rounded_load_limit(now, server(id)).has_value();
+        return policy.loads_.rounded_load_limit(now, server(id)).has_value();
     }
     std::optional<double>& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
     TimePoint& limited_at(const ServerId& id) { return server(id).load_limit.limited_at_; }
@@ -136,7 +136,7 @@
         const RequestState request = make_group_request(now);
         const FleetView fleet = policy.shares_.view(now, &request);
         const PlacementContext context{
-            now, request, fleet, policy.servers_.load_of(request), {}, policy.gossip_.trust(now)};
+            now, request, fleet, policy.loads_.load_of(request), {}, policy.gossip_.trust(now)};
         return policy.placement_.has_room(context, index(id), true);
     }
 };
