--- a/src/policy/request_pipeline.h
+++ b/src/policy/request_pipeline.h
@@ -12,7 +12,10 @@
 #include "policy/policy_actions.h"
 #include "policy/request_queue.h"
 #include "policy/request_state.h"
+#include "policy/server_health.h"
+#include "policy/server_loads.h"
 #include "policy/server_table.h"
+#include "policy/warmup_admission.h"
 #include "retry/early_reset_rate.h"
 #include "retry/retry_budget.h"
 
@@ -22,7 +25,7 @@
 struct PickResult {
     /// Its next attempt goes to this server.
     struct Complete {
-        int server;
+        ServerIndex server;
     };
     /// No server may take it: tried again while its deadline allows.
     struct Queue {};
@@ -52,6 +55,9 @@
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
+        const ServerLoads& loads;
+        const WarmupAdmission& warmup;
+        ServerHealth& health;
         FairShares& shares;
         FailoverTable& failovers;
         const GossipCoordinator& gossip;
@@ -82,7 +88,7 @@
     PickResult place(TimePoint now, RequestState&);
     /// The answer where nothing more is tried.
     PickResult give_up(const RequestState&);
-    void dispatch(TimePoint now, RequestState&, int server);
+    void dispatch(TimePoint now, RequestState&, ServerIndex server);
 
     /// A resumed stream goes to the server that still has its connection, also while that one drains.
     bool is_parked_at_server(TimePoint now, const RequestState&, const FailoverTable::Entry*) const;
@@ -97,6 +103,9 @@
 
     const PolicyConfig& config_;
     ServerTable& servers_;
+    const ServerLoads& loads_;
+    const WarmupAdmission& warmup_;
+    ServerHealth& health_;
     FairShares& shares_;
     FailoverTable& failovers_;
     const GossipCoordinator& gossip_;
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -64,10 +64,8 @@
 /// Reads and sets the state of a policy's components.
 struct PolicyInspector {
     BalancingPolicy& policy;
-    int index(const ServerId& id) { return policy.servers_.find(id); }
-    ServerState& server(const ServerId& id) {
-        return policy.servers_.servers_[policy.servers_.index_.at(id)];
-    }
+    ServerIndex index(const ServerId& id) { return policy.servers_.find(id).value(); }
+    ServerState& server(const ServerId& id) { return policy.servers_[index(id)]; }
     RequestState& request(RequestId id) { return policy.requests_.at(id); }
     bool has_request(RequestId id) { return policy.requests_.contains(id); }
 
@@ -82,18 +80,21 @@
         return server(id).outliers.failure_penalty(now);
     }
     void record_failure(TimePoint now, const ServerId& id) {
-        policy.servers_.record_failure(now, index(id), 1);
+        policy.health_.record_failure(now, index(id), 1);
     }
     bool is_selectable(TimePoint now, const ServerId& id) {
-        return ServerTable::is_selectable(now, server(id));
+        return eligibility::is_selectable(now, server(id));
     }
 
     // Its load, its limit and its slow start.
-    double load(const ServerId& id) { return policy.servers_.load_on(server(id)); }
+    double load(const ServerId& id) { return policy.loads_.load_on(server(id)); }
     double load_limit(TimePoint now, const ServerId& id) {
-        return policy.servers_.rounded_load_limit(now, server(id));
+        return policy.loads_.rounded_load_limit(now, server(id)).value();
+    }
+    bool has_load_limit(TimePoint now, const ServerId& id) {
+        return policy.loads_.rounded_load_limit(now, server(id)).has_value();
     }
-    double& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
+    std::optional<double>& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
     TimePoint& limited_at(const ServerId& id) { return server(id).load_limit.limited_at_; }
     double share(TimePoint now, const ServerId& id) {
         const FleetView fleet = policy.shares_.view(now, nullptr);
@@ -135,7 +136,7 @@
         const RequestState request = make_group_request(now);
         const FleetView fleet = policy.shares_.view(now, &request);
         const PlacementContext context{
-            now, request, fleet, policy.servers_.load_of(request), -1, policy.gossip_.trust(now)};
+            now, request, fleet, policy.loads_.load_of(request), {}, policy.gossip_.trust(now)};
         return policy.placement_.has_room(context, index(id), true);
     }
 };
