--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -11,6 +11,7 @@
 #include "affinity/group_table.h"
 #include "base/pcg32.h"
 #include "base/time.h"
+#include "policy/attempt_result_recorder.h"
 #include "policy/connection_tracker.h"
 #include "policy/degraded_servers.h"
 #include "policy/eligibility.h"
@@ -120,8 +121,9 @@
     EndpointUpdater endpoint_updater_{
         {config_, servers_, warmup_, health_, gossip_, connections_, requests_}};
     RequestQueue queue_{config_, actions_};
-    RequestPipeline pipeline_{{config_, servers_, loads_, warmup_, health_, shares_, failovers_, gossip_,
-                               placement_, retry_budget_, early_resets_, connections_, requests_, queue_,
+    AttemptResultRecorder results_{{config_, servers_, health_, failovers_, early_resets_}};
+    RequestPipeline pipeline_{{config_, servers_, loads_, warmup_, shares_, failovers_, gossip_, placement_,
+                               retry_budget_, early_resets_, results_, connections_, requests_, queue_,
                                actions_, random_}};
 };
 
--- a/src/policy/request_pipeline.cpp
+++ b/src/policy/request_pipeline.cpp
@@ -29,13 +29,13 @@
       servers_(parts.servers),
       loads_(parts.loads),
       warmup_(parts.warmup),
-      health_(parts.health),
       shares_(parts.shares),
       failovers_(parts.failovers),
       gossip_(parts.gossip),
       placement_(parts.placement),
       retry_budget_(parts.retry_budget),
       early_resets_(parts.early_resets),
+      results_(parts.results),
       connections_(parts.connections),
       requests_(parts.requests),
       queue_(parts.queue),
@@ -157,10 +157,7 @@
     Attempt& attempt = request.attempts[end.number];
     attempt.pending = false;
     attempt.established = false;
-    if (end.was_established)
-        record_connection_end(now, request, end);
-    else
-        record_setup_failure(now, request, end);
+    results_.record(now, request, end);
     if (!retry_policy::never_ran(end.outcome) && !request.may_have_run) request.may_have_run = end.number;
     if (end.is_final)
         requests_.erase(request.id);
@@ -168,33 +165,4 @@
         run(now, request);
 }
 
-void RequestPipeline::record_connection_end(TimePoint now, const RequestState& request,
-                                            const AttemptEnd& end) {
-    const Attempt& attempt = request.attempts[end.number];
-    switch (end.outcome) {
-        case AttemptOutcome::completed:
-        case AttemptOutcome::not_sent: return;
-        case AttemptOutcome::cancelled:
-            if (config_.passthrough) failovers_.record(now, request.key, attempt.server, true);
-            return;
-        case AttemptOutcome::reset: early_resets_.on_reset(now, attempt.sent); break;
-        default: break;
-    }
-    health_.record_reset(now, attempt.server);
-}
-
-void RequestPipeline::record_setup_failure(TimePoint now, const RequestState& request,
-                                           const AttemptEnd& end) {
-    const bool is_failure = end.outcome != AttemptOutcome::completed &&
-                            end.outcome != AttemptOutcome::cancelled &&
-                            end.outcome != AttemptOutcome::not_sent;
-    if (!is_failure) return;
-    const Attempt& attempt = request.attempts[end.number];
-    if (attempt.sent >= cycle_clock::cycle_start(now)) servers_[attempt.server].outliers.count_lost();
-    const bool was_full = end.outcome == AttemptOutcome::at_capacity;
-    const double penalty = was_full ? OutlierDetector::penalty_at_capacity : OutlierDetector::penalty_failed;
-    health_.record_failure(now, attempt.server, penalty);
-    failovers_.record(now, request.key, attempt.server, false);
-}
-
 }  // namespace headrouter
--- a/src/policy/request_pipeline.h
+++ b/src/policy/request_pipeline.h
@@ -5,6 +5,7 @@
 
 #include "affinity/failover_table.h"
 #include "base/pcg32.h"
+#include "policy/attempt_result_recorder.h"
 #include "policy/connection_tracker.h"
 #include "policy/fair_shares.h"
 #include "policy/gossip_coordinator.h"
@@ -12,7 +13,6 @@
 #include "policy/policy_actions.h"
 #include "policy/request_queue.h"
 #include "policy/request_state.h"
-#include "policy/server_health.h"
 #include "policy/server_loads.h"
 #include "policy/server_table.h"
 #include "policy/warmup_admission.h"
@@ -39,14 +39,6 @@
     std::variant<Complete, Queue, Reject, Fail> result;
 };
 
-/// How an attempt ended.
-struct AttemptEnd {
-    int number;  ///< of the attempt, from 0
-    AttemptOutcome outcome;
-    bool was_established;
-    bool is_final;  ///< the outcome was the answer to the client
-};
-
 /// Takes requests and the ends of their attempts. A request that still owes its client an answer after an
 /// attempt goes through all steps again.
 class RequestPipeline {
@@ -57,13 +49,13 @@
         ServerTable& servers;
         const ServerLoads& loads;
         const WarmupAdmission& warmup;
-        ServerHealth& health;
         FairShares& shares;
-        FailoverTable& failovers;
+        const FailoverTable& failovers;
         const GossipCoordinator& gossip;
         Placement& placement;
         RetryBudget& retry_budget;
         EarlyResetRate& early_resets;
+        AttemptResultRecorder& results;
         ConnectionTracker& connections;
         RequestTable& requests;
         RequestQueue& queue;
@@ -98,20 +90,17 @@
     /// How long the next attempt may take.
     Duration attempt_timeout(TimePoint now, const RequestState&);
 
-    void record_setup_failure(TimePoint now, const RequestState&, const AttemptEnd&);
-    void record_connection_end(TimePoint now, const RequestState&, const AttemptEnd&);
-
     const PolicyConfig& config_;
     ServerTable& servers_;
     const ServerLoads& loads_;
     const WarmupAdmission& warmup_;
-    ServerHealth& health_;
     FairShares& shares_;
-    FailoverTable& failovers_;
+    const FailoverTable& failovers_;
     const GossipCoordinator& gossip_;
     Placement& placement_;
     RetryBudget& retry_budget_;
     EarlyResetRate& early_resets_;
+    AttemptResultRecorder& results_;
     ConnectionTracker& connections_;
     RequestTable& requests_;
     RequestQueue& queue_;
