--- a/src/policy/policy_config.h
+++ b/src/policy/policy_config.h
@@ -1,6 +1,5 @@
 /// The configuration of one balancer's policy.
 #pragma once
-#include <algorithm>
 #include <vector>
 
 #include "policy/types.h"
@@ -35,17 +34,9 @@
     double quota = 0;  ///< connections of all tenants over all balancers; zero where unknown
 
     /// The slow start that all balancers apply to a cold server.
-    slow_start::SlowStartConfig slow_start_config() const {
-        return {overload_multiple, overload_window, slow_start_time, replica_index, replica_count};
-    }
+    slow_start::SlowStartConfig slow_start_config() const;
     /// The strictest message objective of any request class; beyond all of them where none has one.
-    Duration shortest_message_objective() const {
-        Duration shortest = seconds(1000);
-        for (const RequestClass& request_class : request_classes)
-            if (request_class.message_objective.ns > 0)
-                shortest = std::min(shortest, request_class.message_objective);
-        return shortest;
-    }
+    Duration shortest_message_objective() const;
 };
 
 }  // namespace headrouter
