--- a/lab/simulation/balancer_mailboxes.cpp
+++ b/lab/simulation/balancer_mailboxes.cpp
@@ -14,13 +14,15 @@
     process.started_at = now;
 }
 
-void BalancerMailboxes::send(int balancer, Input input) {
-    if (is_running(balancer) || input.what == Input::What::dies || input.what == Input::What::list)
-        outbox_.emplace_back(balancer, std::move(input));
+void BalancerMailboxes::send(int balancer, BalancerInput input) {
+    const bool is_for_any_process = std::holds_alternative<ProcessKilled>(input.event) ||
+                                    std::holds_alternative<EndpointsReceived>(input.event);
+    if (is_running(balancer) || is_for_any_process) outbox_.emplace_back(balancer, std::move(input));
 }
 
 void BalancerMailboxes::deliver(std::deque<SimulatedBalancer>& balancers) {
-    for (auto& [balancer, input] : outbox_) balancers[static_cast<size_t>(balancer)].tell(std::move(input));
+    for (auto& [balancer, input] : outbox_)
+        balancers[static_cast<size_t>(balancer)].receive(std::move(input));
     outbox_.clear();
 }
 
--- a/lab/simulation/balancer_mailboxes.h
+++ b/lab/simulation/balancer_mailboxes.h
@@ -24,7 +24,7 @@
     void mark_started(int balancer, TimePoint now);
 
     /// Queues an input. A balancer that does not run gets only its own end and endpoint lists.
-    void send(int balancer, Input);
+    void send(int balancer, BalancerInput);
 
     /// Hands over all that is queued, in the order in which it was sent.
     void deliver(std::deque<SimulatedBalancer>&);
@@ -38,7 +38,7 @@
     const Process& process(int balancer) const { return processes_[static_cast<size_t>(balancer)]; }
 
     std::vector<Process> processes_;
-    std::vector<std::pair<int, Input>> outbox_;
+    std::vector<std::pair<int, BalancerInput>> outbox_;
 };
 
 }  // namespace headrouter::simulation
--- a/lab/simulation/endpoint_announcer.cpp
+++ b/lab/simulation/endpoint_announcer.cpp
@@ -30,10 +30,8 @@
     : context_(context), first_list_(first_list(context.world)), list_(first_list_) {
     const auto shared = std::make_shared<const List>(list_);
     for (int balancer = 0; balancer < context_.world.balancers; ++balancer) {
-        Input input{Input::What::list, TimePoint{}};
-        input.list = shared;
-        input.kind = EndpointUpdateKind::snapshot;
-        context_.mailboxes.send(balancer, std::move(input));
+        context_.mailboxes.send(balancer,
+                                {TimePoint{}, EndpointsReceived{EndpointUpdateKind::snapshot, shared}});
     }
 }
 
@@ -53,10 +51,8 @@
 void EndpointAnnouncer::on(const EndpointAnnounced& event) {
     if (is_down_) return;
     const Endpoint& endpoint = list_[static_cast<size_t>(event.server)];
-    Input input = context_.input(Input::What::list, 0, -1, context_.tick());
-    input.list = std::make_shared<const List>(1, endpoint);
-    input.kind = EndpointUpdateKind::delta;
-    context_.mailboxes.send(event.balancer, std::move(input));
+    const auto changed = std::make_shared<const List>(1, endpoint);
+    context_.send(event.balancer, EndpointsReceived{EndpointUpdateKind::delta, changed}, context_.tick());
     tell_checker(event.balancer, endpoint);
 }
 
@@ -75,15 +71,13 @@
 }
 
 void EndpointAnnouncer::tell_list(int balancer, const std::shared_ptr<const List>& list) {
-    Input input = context_.input(Input::What::list, 0, -1, context_.tick() * list_ticks);
-    input.list = list;
-    input.kind = EndpointUpdateKind::snapshot;
-    context_.mailboxes.send(balancer, std::move(input));
+    context_.send(balancer, EndpointsReceived{EndpointUpdateKind::snapshot, list},
+                  context_.tick() * list_ticks);
     for (const Endpoint& endpoint : *list) tell_checker(balancer, endpoint);
 }
 
 void EndpointAnnouncer::tell_checker(int balancer, const Endpoint& endpoint) {
-    const int server = place_of(endpoint.server);
+    const int server = server_index_of(endpoint.server);
     if (endpoint.state == EndpointState::active)
         context_.checker.told_wanted(balancer, server);
     else
--- a/lab/simulation/fault_player.cpp
+++ b/lab/simulation/fault_player.cpp
@@ -95,16 +95,14 @@
     context_.checker.excuse_held(balancer);
     TimePoint& stalled_until = stalled_until_[static_cast<size_t>(balancer)];
     stalled_until = std::max(stalled_until, until);
-    Input input = context_.input(Input::What::stands_still, 0, -1, context_.tick());
-    input.until = stalled_until;
-    context_.mailboxes.send(balancer, std::move(input));
+    context_.send(balancer, ProcessStalled{stalled_until}, context_.tick());
     context_.events.schedule(context_.now() + front_notice, FrontNotices{balancer});
 }
 
 void FaultPlayer::stop_balancer(int balancer) {
     if (!context_.mailboxes.is_running(balancer)) return;
     context_.checker.balancer_died(balancer);
-    context_.mailboxes.send(balancer, context_.input(Input::What::dies, 0, -1, context_.tick()));
+    context_.send(balancer, ProcessKilled{}, context_.tick());
     context_.mailboxes.mark_stopped(balancer);
     context_.events.schedule(context_.now() + front_notice, FrontNotices{balancer});
     for (const uint64_t id : targets_.requests.held_by(balancer)) {
@@ -122,8 +120,7 @@
 void FaultPlayer::start_balancer(int balancer) {
     if (context_.mailboxes.is_running(balancer)) return;
     context_.mailboxes.mark_started(balancer, context_.now());
-    context_.mailboxes.send(balancer,
-                            context_.input(Input::What::starts, 0, -1, context_.tick() * start_ticks));
+    context_.send(balancer, ProcessStarted{}, context_.tick() * start_ticks);
     targets_.announcer.tell_new_process(balancer);
     context_.events.schedule(context_.now() + context_.tick() * front_return_ticks, FrontNotices{balancer});
 }
--- a/lab/simulation/gossip_network.cpp
+++ b/lab/simulation/gossip_network.cpp
@@ -15,10 +15,8 @@
         ++datagrams_;
         bytes_ += message.bytes.size();
         for (scenario::Links::Passed& passed : links_.carry(message.at, from, to, message.bytes)) {
-            Input input{Input::What::peer, arrives + passed.later};
-            input.from = from;
-            input.bytes = std::move(passed.bytes);
-            context_.mailboxes.send(to, std::move(input));
+            context_.mailboxes.send(to,
+                                    {arrives + passed.later, GossipReceived{from, std::move(passed.bytes)}});
         }
     }
 }
--- a/lab/simulation/simulated_balancer.cpp
+++ b/lab/simulation/simulated_balancer.cpp
@@ -1,256 +1,361 @@
 #include "simulation/simulated_balancer.h"
 
+#include <xxhash.h>
+
 #include <algorithm>
 #include <charconv>
+#include <cstdint>
+#include <utility>
 
 namespace headrouter::simulation {
 
 namespace {
-constexpr Duration answer_margin = millis(10);  // as the program keeps before the deadline
+
+// What the router keeps back of a deadline (src/router).
+constexpr Duration reply_margin = millis(10);
 constexpr TimePoint never{INT64_MAX};
+constexpr size_t server_id_prefix = 2;  // "s-"
+
+constexpr int64_t none_in_digest = -1;
+constexpr int64_t first_answer_in_digest = 3;  // after the commands to servers
+
+/// One output as the digest has it.
+struct DigestRow {
+    int64_t kind;
+    int64_t at_ns;
+    int64_t request;
+    int64_t attempt;
+    int64_t server;
+    int64_t duration_ns;
+};
+
+struct DigestRowOf {
+    TimePoint at;
+    DigestRow operator()(const ConnectToServer& command) const {
+        return {0, at.ns, static_cast<int64_t>(command.request), command.attempt, command.server, 0};
+    }
+    DigestRow operator()(const SendRequestLine& command) const {
+        const auto request = static_cast<int64_t>(command.request);
+        return {1, at.ns, request, command.attempt, command.server, command.wait.ns};
+    }
+    DigestRow operator()(const CloseServerConnection& command) const {
+        return {2, at.ns, static_cast<int64_t>(command.request), command.attempt, command.server, 0};
+    }
+    DigestRow operator()(const AnswerClient& command) const {
+        const int64_t kind = first_answer_in_digest + static_cast<int64_t>(command.answer);
+        const auto request = static_cast<int64_t>(command.request);
+        return {kind, at.ns, request, none_in_digest, none_in_digest, command.retry_after.ns};
+    }
+};
+
 }  // namespace
 
-int place_of(const ServerId& id) {
-    int place = -1;
-    std::from_chars(id.data() + 2, id.data() + id.size(), place);
-    return place;
+int server_index_of(const ServerId& id) {
+    int index = -1;
+    std::from_chars(id.data() + server_id_prefix, id.data() + id.size(), index);
+    return index;
 }
 
-SimulatedBalancer::SimulatedBalancer(const scenario::Scenario& w, int number, PolicyKind kind, uint64_t seed,
-                                     std::string record_to)
-    : world_(&w),
+SimulatedBalancer::SimulatedBalancer(const scenario::Scenario& scenario, int number, PolicyKind kind,
+                                     uint64_t seed, std::string record_to)
+    : scenario_(scenario),
       number_(number),
       kind_(kind),
       record_to_(std::move(record_to)),
       seed_(seed),
-      conditions_(w.servers),
-      listed_(w.servers) {
-    start(TimePoint{});
+      endpoint_states_(static_cast<size_t>(scenario.servers)),
+      is_listed_(static_cast<size_t>(scenario.servers)) {
+    start_process();
 }
 
-void SimulatedBalancer::start(TimePoint now) {
+void SimulatedBalancer::start_process() {
     policy_.reset();
-    flows_.clear();
-    due_.clear();
+    requests_.clear();
+    pending_actions_.clear();
     timers_ = {};
-    const uint64_t seed = Pcg32(seed_, lives_++).next();
-    policy_ =
-        make_policy(kind_, scenario::deployment_of(*world_, number_), seed, *this, now,
-                    record_to_.empty() ? Recording{} : Recording{record_to_, "b" + std::to_string(number_)});
-    if (!known_.empty()) policy_->on_endpoints(now, EndpointUpdateKind::cached, known_);
-    act(now);
+    const uint64_t seed = Pcg32(seed_, processes_started_++).next();
+    const Recording recording =
+        record_to_.empty() ? Recording{} : Recording{record_to_, "b" + std::to_string(number_)};
+    policy_ = make_policy(kind_, scenario::deployment_of(scenario_, number_), seed, *this, now_, recording);
+    if (!known_endpoints_.empty()) policy_->on_endpoints(now_, EndpointUpdateKind::cached, known_endpoints_);
+    perform_actions();
 }
 
-void SimulatedBalancer::tell(Input news) { inbox_.push({std::move(news), counted_++}); }
+void SimulatedBalancer::receive(BalancerInput input) { inputs_.push({std::move(input), next_order_++}); }
 
 TimePoint SimulatedBalancer::next() const {
-    TimePoint at = never;
-    if (!inbox_.empty()) at = inbox_.top().news.at;
-    if (!timers_.empty()) at = std::min(at, timers_.top().at);
-    return at == never ? never : std::max(at, still_until_);
+    TimePoint due = never;
+    if (!inputs_.empty()) due = inputs_.top().input.at;
+    if (!timers_.empty()) due = std::min(due, timers_.top().at);
+    return due == never ? never : std::max(due, stalled_until_);
 }
 
 void SimulatedBalancer::run(TimePoint until) {
     while (next() < until) {
         ++events_;
-        now_ = std::max(now_, still_until_);
-        if (!inbox_.empty() && (timers_.empty() || inbox_.top().news.at <= timers_.top().at)) {
-            const Input news = inbox_.top().news;
-            inbox_.pop();
-            now_ = std::max(now_, news.at);
-            hear(news);
+        now_ = std::max(now_, stalled_until_);
+        const bool is_input_next =
+            !inputs_.empty() && (timers_.empty() || inputs_.top().input.at <= timers_.top().at);
+        if (is_input_next) {
+            const BalancerInput input = inputs_.top().input;
+            inputs_.pop();
+            now_ = std::max(now_, input.at);
+            std::visit([this](const auto& event) { handle(event); }, input.event);
         } else {
-            const Timer t = timers_.top();
+            const Timer timer = timers_.top();
             timers_.pop();
-            now_ = std::max(now_, t.at);
-            if (t.attempt < 0)
-                policy_->on_timer(now_, t.token);
-            else
-                limit_rang(t);
+            now_ = std::max(now_, timer.at);
+            play(timer);
         }
-        act(now_);
+        perform_actions();
     }
 }
 
 SimulatedBalancer::ActiveRequest* SimulatedBalancer::find(uint64_t request) {
-    const auto it = flows_.find(request);
-    return it == flows_.end() ? nullptr : &it->second;
+    const auto it = requests_.find(request);
+    return it == requests_.end() ? nullptr : &it->second;
 }
 
-bool SimulatedBalancer::wants_new(int server) const {
-    return listed_[server] && conditions_[server] == EndpointState::active;
+bool SimulatedBalancer::is_pending_attempt(const ActiveRequest& request, int attempt) const {
+    return request.is_pending && request.attempt == attempt;
 }
 
-void SimulatedBalancer::hear(const Input& n) {
-    using What = Input::What;
-    if (n.what == What::dies) {
-        policy_.reset();
-        flows_.clear();
-        timers_ = {};
-        return;
-    }
-    if (n.what == What::starts) return start(now_);
-    if (n.what == What::stands_still) return void(still_until_ = n.until);
-    if (n.what == What::list) {
-        if (n.kind != EndpointUpdateKind::delta) std::fill(listed_.begin(), listed_.end(), 0);
-        for (const Endpoint& l : *n.list) {
-            const int k = place_of(l.server);
-            listed_[k] = 1;
-            conditions_[k] = l.state;
-            const auto known = std::find_if(known_.begin(), known_.end(),
-                                            [&](const Endpoint& other) { return other.server == l.server; });
-            known == known_.end() ? known_.push_back(l) : void(*known = l);
-        }
-        if (policy_) policy_->on_endpoints(now_, n.kind, *n.list);
-        return;
+bool SimulatedBalancer::accepts_new_requests(int server) const {
+    const auto index = static_cast<size_t>(server);
+    return is_listed_[index] && endpoint_states_[index] == EndpointState::active;
+}
+
+// ---- the process ----
+
+void SimulatedBalancer::handle(const ProcessKilled&) {
+    policy_.reset();
+    requests_.clear();
+    timers_ = {};
+}
+
+void SimulatedBalancer::handle(const ProcessStarted&) { start_process(); }
+
+void SimulatedBalancer::handle(const ProcessStalled& event) { stalled_until_ = event.until; }
+
+void SimulatedBalancer::handle(const EndpointsReceived& event) {
+    const std::vector<Endpoint>& endpoints = *event.endpoints;
+    if (event.kind != EndpointUpdateKind::delta) is_listed_.assign(is_listed_.size(), false);
+    for (const Endpoint& endpoint : endpoints) {
+        const auto index = static_cast<size_t>(server_index_of(endpoint.server));
+        is_listed_[index] = true;
+        endpoint_states_[index] = endpoint.state;
+        const auto known =
+            std::find_if(known_endpoints_.begin(), known_endpoints_.end(),
+                         [&](const Endpoint& other) { return other.server == endpoint.server; });
+        if (known == known_endpoints_.end())
+            known_endpoints_.push_back(endpoint);
+        else
+            *known = endpoint;
     }
+    if (policy_) policy_->on_endpoints(now_, event.kind, endpoints);
+}
+
+void SimulatedBalancer::play(const Timer& timer) {
+    if (const auto* policy_timer = std::get_if<PolicyTimer>(&timer.purpose))
+        policy_->on_timer(now_, policy_timer->token);
+    else
+        on_attempt_timer(std::get<AttemptTimer>(timer.purpose));
+}
+
+// ---- clients and other balancers ----
+
+void SimulatedBalancer::handle(const RequestReceived& event) {
     if (!policy_) return;
-    if (n.what == What::peer) return policy_->on_gossip(now_, n.from, n.bytes);
-    if (n.what == What::delay)
-        return policy_->on_latency_report(now_, scenario::server_name(n.server), n.figure);
-    if (n.what == What::request) return open_request(n);
-    if (n.what == What::silent && n.request == 0) {
-        std::vector<uint64_t> on;
-        for (const auto& [id, flow] : flows_)
-            if (flow.up && flow.server == n.server) on.push_back(id);
-        std::sort(on.begin(), on.end());
-        for (const uint64_t id : on) {
-            order(now_, Output::What::close, id, find(id)->attempt, n.server);
-            attempt_ended(now_, id, AttemptOutcome::reset, true);
-            act(now_);
-        }
-        return;
+    const scenario::Session& session = *event.session;
+    const scenario::RequestClassSpec& request_class =
+        scenario_.traffic.types[static_cast<size_t>(session.type)];
+    ActiveRequest& active = requests_[event.request];
+    active.deadline = now_ + request_class.deadline - reply_margin - scenario_.client_latency * 2;
+    Request request;
+    request.id = event.request;
+    request.type = session.type;
+    request.tenant = session.tenant;
+    request.is_reconnect = event.is_reconnect;
+    request.key = session.key;
+    request.group = session.group;
+    request.deadline = active.deadline;
+    policy_->on_request(now_, std::move(request));
+}
+
+void SimulatedBalancer::handle(const ClientDisconnected& event) {
+    const ActiveRequest* request = find(event.request);
+    if (!policy_ || !request) return;
+    if (request->is_pending || request->is_established) close_server_connection(event.request, *request);
+    requests_.erase(event.request);
+    policy_->on_client_gone(now_, event.request);
+}
+
+void SimulatedBalancer::handle(const GossipReceived& event) {
+    if (policy_) policy_->on_gossip(now_, event.from, event.bytes);
+}
+
+// ---- servers ----
+
+void SimulatedBalancer::handle(const ConnectionAccepted& event) {
+    ActiveRequest* request = find(event.request);
+    if (!policy_ || !request || !is_pending_attempt(*request, event.attempt)) return;
+    // The endpoint list may have changed while the connection came up.
+    if (!accepts_new_requests(request->server)) {
+        close_server_connection(event.request, *request);
+        return end_attempt(event.request, AttemptOutcome::not_sent);
     }
-    ActiveRequest* flow = find(n.request);
-    if (!flow) return;
-    switch (n.what) {
-        case What::client_gone:
-            if (flow->out || flow->up)
-                order(now_, Output::What::close, n.request, flow->attempt, flow->server);
-            flows_.erase(n.request);
-            return policy_->on_client_gone(now_, n.request);
-        case What::accepted:
-            if (n.attempt != flow->attempt || !flow->out) return;
-            if (!wants_new(flow->server)) {  // the list may have changed while the connection came up
-                order(now_, Output::What::close, n.request, flow->attempt, flow->server);
-                return attempt_ended(now_, n.request, AttemptOutcome::not_sent);
-            }
-            flow->line_sent = true;
-            return order(now_, Output::What::line, n.request, flow->attempt, flow->server,
-                         flow->wait_until - now_);
-        case What::up:
-            if (n.attempt != flow->attempt || !flow->out) return;
-            flow->out = false;
-            flow->up = true;
-            order(now_, Output::What::up, n.request);
-            return policy_->on_attempt_established(now_, n.request, flow->attempt, now_ - flow->attempt_sent);
-        case What::over:
-            if (n.attempt == flow->attempt && (flow->out || flow->up))
-                attempt_ended(now_, n.request, n.ending);
-            return;
-        case What::silent:
-            if (!flow->up) return;
-            order(now_, Output::What::close, n.request, flow->attempt, flow->server);
-            return attempt_ended(now_, n.request, AttemptOutcome::reset, true);
-        case What::load:
-            if (flow->up) policy_->on_load_report(now_, n.request, n.figure);
-            return;
-        default: return;
+    request->line_sent = true;
+    send(SendRequestLine{event.request, event.attempt, request->server, request->attempt_deadline - now_});
+}
+
+void SimulatedBalancer::handle(const AttemptEstablished& event) {
+    ActiveRequest* request = find(event.request);
+    if (!policy_ || !request || !is_pending_attempt(*request, event.attempt)) return;
+    request->is_pending = false;
+    request->is_established = true;
+    send(AnswerClient{event.request, BalancerAnswer::established, {}});
+    policy_->on_attempt_established(now_, event.request, event.attempt, now_ - request->attempt_started_at);
+}
+
+void SimulatedBalancer::handle(const AttemptEnded& event) {
+    const ActiveRequest* request = find(event.request);
+    if (!policy_ || !request || request->attempt != event.attempt) return;
+    if (request->is_pending || request->is_established) end_attempt(event.request, event.outcome);
+}
+
+void SimulatedBalancer::handle(const LoadReported& event) {
+    const ActiveRequest* request = find(event.request);
+    if (!policy_ || !request || !request->is_established) return;
+    policy_->on_load_report(now_, event.request, event.load_us_per_s);
+}
+
+void SimulatedBalancer::handle(const LatencyReported& event) {
+    if (policy_) policy_->on_latency_report(now_, scenario::server_name(event.server), event.latency_ms);
+}
+
+void SimulatedBalancer::handle(const ServerSilent& event) {
+    if (!policy_) return;
+    std::vector<uint64_t> established;
+    for (const auto& [id, request] : requests_)
+        if (request.is_established && request.server == event.server) established.push_back(id);
+    std::sort(established.begin(), established.end());
+    for (const uint64_t id : established) {
+        close_server_connection(id, requests_.at(id));
+        end_attempt(id, AttemptOutcome::reset, true);
+        perform_actions();
     }
 }
 
-void SimulatedBalancer::open_request(const Input& n) {
-    const scenario::Session& s = *n.session;
-    ActiveRequest& flow = flows_[n.request];
-    flow.type = s.type;
-    flow.deadline =
-        now_ + world_->traffic.types[s.type].deadline - answer_margin - world_->client_latency * 2;
-    Request request;
-    request.id = n.request;
-    request.type = s.type;
-    request.tenant = s.tenant;
-    request.is_reconnect = n.is_reconnect;
-    request.key = s.key;
-    request.group = s.group;
-    request.deadline = flow.deadline;
-    policy_->on_request(now_, std::move(request));
+void SimulatedBalancer::handle(const ConnectionSilent& event) {
+    const ActiveRequest* request = find(event.request);
+    if (!policy_ || !request || !request->is_established) return;
+    close_server_connection(event.request, *request);
+    end_attempt(event.request, AttemptOutcome::reset, true);
 }
 
-// An attempt that came up and then ends is the end of its request: its client comes again by itself.
-void SimulatedBalancer::attempt_ended(TimePoint now, uint64_t id, AttemptOutcome ending, bool silent) {
-    ActiveRequest* flow = find(id);
-    const bool final = flow->up;
-    const int attempt = flow->attempt;
-    const Duration took = now - flow->attempt_sent;
-    flow->out = false;
-    if (final) {
-        order(now, silent || ending == AttemptOutcome::cancelled ? Output::What::moved : Output::What::ended,
-              id);
-        flows_.erase(id);
+// ---- attempts ----
+
+// The end of an established attempt is the end of its request: the client reconnects by itself.
+void SimulatedBalancer::end_attempt(uint64_t id, AttemptOutcome outcome, bool is_silent) {
+    ActiveRequest& request = requests_.at(id);
+    const bool is_final = request.is_established;
+    const int attempt = request.attempt.value();
+    const Duration took = now_ - request.attempt_started_at;
+    request.is_pending = false;
+    if (is_final) {
+        const bool is_migrated = is_silent || outcome == AttemptOutcome::cancelled;
+        send(AnswerClient{id, is_migrated ? BalancerAnswer::migrated : BalancerAnswer::ended, {}});
+        requests_.erase(id);
     }
-    policy_->on_attempt_ended(now, id, attempt, ending, took, final);
+    policy_->on_attempt_ended(now_, id, attempt, outcome, took, is_final);
 }
 
-void SimulatedBalancer::limit(TimePoint at, uint64_t request, int attempt) {
-    timers_.push({at, counted_++, request, attempt});
+void SimulatedBalancer::set_attempt_timer(TimePoint at, uint64_t request, int attempt) {
+    timers_.push({at, next_order_++, AttemptTimer{request, attempt}});
 }
 
-// Rings twice for an attempt: when it should be connected, and when its answer should have come.
-void SimulatedBalancer::limit_rang(const Timer& t) {
-    ActiveRequest* flow = find(t.token);
-    if (!flow || !flow->out || flow->attempt != t.attempt) return;
-    if (flow->line_sent && now_ < flow->wait_until) return;
-    order(now_, Output::What::close, t.token, flow->attempt, flow->server);
-    attempt_ended(now_, t.token,
-                  flow->line_sent ? AttemptOutcome::timed_out : AttemptOutcome::connect_failed);
+// Two are set for an attempt: for its connect, and for its answer.
+void SimulatedBalancer::on_attempt_timer(const AttemptTimer& timer) {
+    const ActiveRequest* request = find(timer.request);
+    if (!request || !is_pending_attempt(*request, timer.attempt)) return;
+    if (request->line_sent && now_ < request->attempt_deadline) return;
+    const AttemptOutcome outcome =
+        request->line_sent ? AttemptOutcome::timed_out : AttemptOutcome::connect_failed;
+    close_server_connection(timer.request, *request);
+    end_attempt(timer.request, outcome);
 }
 
-void SimulatedBalancer::order(TimePoint at, Output::What what, uint64_t request, int attempt, int server,
-                              Duration span) {
-    orders_.push_back({what, at, request, attempt, server, span});
-    const int64_t words[] = {
-        static_cast<int64_t>(what), at.ns, static_cast<int64_t>(request), attempt, server, span.ns};
-    digest_ = XXH64(words, sizeof words, digest_);
+// ---- outputs ----
+
+void SimulatedBalancer::send(BalancerCommand command) {
+    const DigestRow row = std::visit(DigestRowOf{now_}, command);
+    digest_ = XXH64(&row, sizeof row, digest_);
+    outputs_.push_back({now_, std::move(command)});
+}
+
+void SimulatedBalancer::close_server_connection(uint64_t id, const ActiveRequest& request) {
+    send(CloseServerConnection{id, request.attempt.value(), request.server});
 }
 
+// ---- the policy's actions, performed after it has returned ----
+
 void SimulatedBalancer::start_attempt(RequestId id, const ServerId& server, Duration timeout) {
-    due_.push_back({Output::What::connect, id, server, timeout});
+    pending_actions_.emplace_back(PendingAttempt{id, server, timeout});
 }
+
 void SimulatedBalancer::reject(RequestId id, Duration retry_after) {
-    due_.push_back({Output::What::busy, id, {}, retry_after});
-}
-void SimulatedBalancer::fail(RequestId id) { due_.push_back({Output::What::failed, id, {}, {}}); }
-void SimulatedBalancer::migrate(RequestId id) { due_.push_back({Output::What::moved, id, {}, {}}); }
-void SimulatedBalancer::set_timer(TimePoint at, uint64_t token) { timers_.push({at, counted_++, token, -1}); }
-
-void SimulatedBalancer::act(TimePoint now) {
-    while (!due_.empty()) {
-        const PendingAction due = std::move(due_.front());
-        due_.pop_front();
-        ActiveRequest* flow = find(due.request);
-        if (!flow) continue;
-        if (due.what != Output::What::connect) {
-            if (due.what == Output::What::moved)
-                order(now, Output::What::close, due.request, flow->attempt, flow->server);
-            order(now, due.what, due.request, -1, -1, due.span);
-            flows_.erase(due.request);
-            continue;
-        }
-        ++flow->attempt;
-        flow->server = place_of(due.server);
-        flow->attempt_sent = now;
-        flow->out = true;
-        flow->line_sent = false;
-        const Duration left = std::max(flow->deadline - now, Duration{});
-        flow->wait_until = now + (due.span.ns > 0 ? std::min(due.span, left) : left);
-        if (!wants_new(flow->server)) {
-            attempt_ended(now, due.request, AttemptOutcome::not_sent);
-            continue;
-        }
-        order(now, Output::What::connect, due.request, flow->attempt, flow->server);
-        limit(std::min(flow->wait_until, now + world_->connect_time), due.request, flow->attempt);
-        limit(flow->wait_until, due.request, flow->attempt);
+    pending_actions_.emplace_back(AnswerClient{id, BalancerAnswer::rejected, retry_after});
+}
+
+void SimulatedBalancer::fail(RequestId id) {
+    pending_actions_.emplace_back(AnswerClient{id, BalancerAnswer::failed, {}});
+}
+
+void SimulatedBalancer::migrate(RequestId id) {
+    pending_actions_.emplace_back(AnswerClient{id, BalancerAnswer::migrated, {}});
+}
+
+void SimulatedBalancer::set_timer(TimePoint at, uint64_t token) {
+    timers_.push({at, next_order_++, PolicyTimer{token}});
+}
+
+void SimulatedBalancer::send_gossip(int to, const std::string& bytes) {
+    gossip_.push_back({now_, to, bytes});
+}
+
+void SimulatedBalancer::perform_actions() {
+    while (!pending_actions_.empty()) {
+        const PendingAction action = std::move(pending_actions_.front());
+        pending_actions_.pop_front();
+        std::visit([this](const auto& kind) { perform(kind); }, action);
     }
 }
 
+void SimulatedBalancer::perform(const AnswerClient& action) {
+    const ActiveRequest* request = find(action.request);
+    if (!request) return;
+    if (action.answer == BalancerAnswer::migrated) close_server_connection(action.request, *request);
+    send(action);
+    requests_.erase(action.request);
+}
+
+void SimulatedBalancer::perform(const PendingAttempt& action) {
+    ActiveRequest* request = find(action.request);
+    if (!request) return;
+    const int attempt = request->attempt ? *request->attempt + 1 : 0;
+    request->attempt = attempt;
+    request->server = server_index_of(action.server);
+    request->attempt_started_at = now_;
+    request->is_pending = true;
+    request->line_sent = false;
+    const Duration time_left = std::max(request->deadline - now_, Duration{});
+    const Duration timeout = action.timeout.ns > 0 ? std::min(action.timeout, time_left) : time_left;
+    request->attempt_deadline = now_ + timeout;
+    if (!accepts_new_requests(request->server)) return end_attempt(action.request, AttemptOutcome::not_sent);
+    send(ConnectToServer{action.request, attempt, request->server});
+    set_attempt_timer(std::min(request->attempt_deadline, now_ + scenario_.connect_time), action.request,
+                      attempt);
+    set_attempt_timer(request->attempt_deadline, action.request, attempt);
+}
+
 }  // namespace headrouter::simulation
--- a/lab/simulation/simulated_clients.cpp
+++ b/lab/simulation/simulated_clients.cpp
@@ -14,10 +14,10 @@
     return (static_cast<uint64_t>(session) + 1) << tries_bits | (tries & tries_mask);
 }
 
-Answer answer_of(Output::What what) {
-    switch (what) {
-        case Output::What::busy: return Answer::busy;
-        case Output::What::failed: return Answer::failed;
+Answer answer_of(BalancerAnswer answer) {
+    switch (answer) {
+        case BalancerAnswer::rejected: return Answer::busy;
+        case BalancerAnswer::failed: return Answer::failed;
         default: return Answer::ended;
     }
 }
@@ -78,10 +78,7 @@
     client.state = Client::State::asking;
     requests_.open(client.request, number, balancer, context_.mailboxes.life(balancer));
     context_.checker.opened(context_.now(), client.request, session.type, balancer);
-    Input input = context_.input(Input::What::request, client.request, -1, latency);
-    input.session = &session;
-    input.is_reconnect = client.is_reconnect;
-    context_.mailboxes.send(balancer, std::move(input));
+    context_.send(balancer, RequestReceived{client.request, &session, client.is_reconnect}, latency);
     const Duration deadline = context_.world.traffic.types[static_cast<size_t>(session.type)].deadline;
     context_.events.schedule(context_.now() + deadline, DeadlineExpires{client.request});
 }
@@ -104,8 +101,7 @@
     if (!request || request->client_gone) return;
     request->client_gone = true;
     context_.checker.client_left(id, waited);
-    context_.mailboxes.send(request->balancer,
-                            context_.input(Input::What::client_gone, id, -1, context_.world.client_latency));
+    context_.send(request->balancer, ClientDisconnected{id}, context_.world.client_latency);
     requests_.erase_if_over(id);
 }
 
@@ -133,7 +129,7 @@
     const size_t session = request->session;
     Client& client = clients_[session];
     if (client.request != event.request) return;
-    if (event.answer == Output::What::up) return established(session, event.request);
+    if (event.answer == BalancerAnswer::established) return established(session, event.request);
     const bool was_established = client.state == Client::State::established;
     const TimePoint now = context_.now();
     request->client_gone = true;
@@ -144,14 +140,14 @@
     Outcome& outcome = context_.outcome;
     Pcg32& chance = context_.chance;
     switch (event.answer) {
-        case Output::What::busy:
+        case BalancerAnswer::rejected:
             ++outcome.busy;
             return come_again(session, client.retry->after_busy(now, event.retry_after, chance));
-        case Output::What::failed:
+        case BalancerAnswer::failed:
             ++outcome.failed;
             return come_again(session, client.retry->after_failure(now, chance));
         default:
-            ++(event.answer == Output::What::moved ? outcome.moved : outcome.broken);
+            ++(event.answer == BalancerAnswer::migrated ? outcome.moved : outcome.broken);
             client.is_reconnect = true;
             return come_again(session, was_established ? client.retry->after_break(now, chance)
                                                        : client.retry->after_failure(now, chance));
--- a/lab/simulation/simulated_servers.cpp
+++ b/lab/simulation/simulated_servers.cpp
@@ -62,8 +62,7 @@
     if (mode == Mode::vanished) return;
     if (mode == Mode::dead) return end_attempt(event.request, event.attempt, AttemptOutcome::connect_failed);
     const Duration latency = context_.server_latency(event.balancer, event.server);
-    context_.mailboxes.send(event.balancer,
-                            context_.input(Input::What::accepted, event.request, event.attempt, latency));
+    context_.send(event.balancer, ConnectionAccepted{event.request, event.attempt}, latency);
 }
 
 void SimulatedServers::on(const RequestLineArrives& event) {
@@ -103,13 +102,11 @@
     }
     requests_.establish(event.request, *attempt);
     const Duration latency = context_.server_latency(event.balancer, event.server);
-    context_.mailboxes.send(event.balancer,
-                            context_.input(Input::What::up, event.request, event.attempt, latency));
+    context_.send(event.balancer, AttemptEstablished{event.request, event.attempt}, latency);
     if (is_up_in_time(event.request, *request)) ++context_.outcome.up_in_time;
     if (!context_.world.tells_load) return;
-    Input load = context_.input(Input::What::load, event.request, event.attempt, latency);
-    load.figure = clients_.session(request->session).load;
-    context_.mailboxes.send(event.balancer, std::move(load));
+    const double load = clients_.session(request->session).load;
+    context_.send(event.balancer, LoadReported{event.request, load}, latency);
 }
 
 bool SimulatedServers::is_up_in_time(uint64_t id, const SimulatedRequest& request) const {
@@ -141,9 +138,7 @@
     const SimulatedAttempt* attempt = request ? request->attempt(number) : nullptr;
     if (!attempt) return;
     const Duration latency = context_.server_latency(request->balancer, attempt->server);
-    Input input = context_.input(Input::What::over, id, number, latency);
-    input.ending = ending;
-    context_.mailboxes.send(request->balancer, std::move(input));
+    context_.send(request->balancer, AttemptEnded{id, number, ending}, latency);
     remove_attempt(id, number);
 }
 
@@ -208,9 +203,7 @@
 
 void SimulatedServers::on(const SilenceNoticed& event) {
     if (event.silence != silences_[static_cast<size_t>(event.server)]) return;
-    Input input = context_.input(Input::What::silent, 0, -1, context_.tick());
-    input.server = event.server;
-    context_.mailboxes.send(event.balancer, std::move(input));
+    context_.send(event.balancer, ServerSilent{event.server}, context_.tick());
 }
 
 // ---- samples ----
@@ -265,10 +258,8 @@
         const int balancer = requests_.at(id).balancer;
         if (told[static_cast<size_t>(balancer)]) continue;
         told[static_cast<size_t>(balancer)] = true;
-        Input input = context_.input(Input::What::delay, 0, -1, context_.world.server_latency);
-        input.server = server;
-        input.figure = to_seconds(delay) * 1000;
-        context_.mailboxes.send(balancer, std::move(input));
+        context_.send(balancer, LatencyReported{server, to_seconds(delay) * 1000},
+                      context_.world.server_latency);
     }
 }
 
@@ -278,8 +269,7 @@
         const SimulatedRequest& request = requests_.at(id);
         const Duration every = class_of(request).message_every;
         if (context_.chance.uniform() >= sample_every / every) continue;
-        context_.mailboxes.send(request.balancer,
-                                context_.input(Input::What::silent, id, -1, context_.tick()));
+        context_.send(request.balancer, ConnectionSilent{id}, context_.tick());
     }
 }
 
--- a/lab/simulation/simulation.cpp
+++ b/lab/simulation/simulation.cpp
@@ -66,12 +66,12 @@
     void exchange() {
         for (int b = 0; b < context_.world.balancers; ++b) {
             SimulatedBalancer& balancer = balancers_[static_cast<size_t>(b)];
-            for (const Output& output : balancer.orders())
-                if (counts(b, output.at)) obey(b, output);
-            balancer.orders().clear();
-            for (const GossipMessage& message : balancer.said())
+            for (const BalancerOutput& output : balancer.outputs())
+                if (counts(b, output.at)) carry_out(b, output);
+            balancer.outputs().clear();
+            for (const GossipMessage& message : balancer.gossip())
                 if (counts(b, message.at)) gossip_.carry(b, message, reached_);
-            balancer.said().clear();
+            balancer.gossip().clear();
         }
         context_.mailboxes.deliver(balancers_);
     }
@@ -121,25 +121,40 @@
     }
 
     /// Brings a balancer's output to the client or the server that it is meant for.
-    void obey(int balancer, const Output& output) {
-        const SimulatedRequest* request = requests_.find(output.request);
-        if (!request || request->balancer != balancer || request->life != context_.mailboxes.life(balancer))
-            return;
-        const TimePoint at_server = output.at + context_.server_latency(balancer, output.server);
-        switch (output.what) {
-            case Output::What::connect:
-                return context_.events.schedule(
-                    at_server, ConnectionArrives{output.request, output.attempt, output.server, balancer});
-            case Output::What::line:
-                return context_.events.schedule(
-                    at_server,
-                    RequestLineArrives{output.request, output.attempt, output.server, balancer, output.span});
-            case Output::What::close:
-                return context_.events.schedule(at_server, ConnectionCloses{output.request, output.attempt});
-            default:
-                return context_.events.schedule(output.at + context_.world.client_latency,
-                                                AnswerArrives{output.request, output.what, output.span});
-        }
+    void carry_out(int balancer, const BalancerOutput& output) {
+        std::visit(
+            [&](const auto& command) {
+                if (is_current(balancer, command.request)) carry_out(balancer, output.at, command);
+            },
+            output.command);
+    }
+
+    /// Whether the balancer's present process holds the request.
+    bool is_current(int balancer, uint64_t id) {
+        const SimulatedRequest* request = requests_.find(id);
+        return request && request->balancer == balancer && request->life == context_.mailboxes.life(balancer);
+    }
+
+    void carry_out(int balancer, TimePoint at, const ConnectToServer& command) {
+        const auto& [request, attempt, server] = command;
+        context_.events.schedule(at + context_.server_latency(balancer, server),
+                                 ConnectionArrives{request, attempt, server, balancer});
+    }
+
+    void carry_out(int balancer, TimePoint at, const SendRequestLine& command) {
+        const auto& [request, attempt, server, wait] = command;
+        context_.events.schedule(at + context_.server_latency(balancer, server),
+                                 RequestLineArrives{request, attempt, server, balancer, wait});
+    }
+
+    void carry_out(int balancer, TimePoint at, const CloseServerConnection& command) {
+        context_.events.schedule(at + context_.server_latency(balancer, command.server),
+                                 ConnectionCloses{command.request, command.attempt});
+    }
+
+    void carry_out(int /*balancer*/, TimePoint at, const AnswerClient& command) {
+        context_.events.schedule(at + context_.world.client_latency,
+                                 AnswerArrives{command.request, command.answer, command.retry_after});
     }
 
     void sample() {
--- a/lab/simulation/simulation_context.h
+++ b/lab/simulation/simulation_context.h
@@ -40,12 +40,9 @@
         return same_zone ? world.server_latency : world.server_latency * 2;
     }
 
-    /// An input for a balancer that arrives there after `latency`.
-    Input input(Input::What what, uint64_t request, int attempt, Duration latency) const {
-        Input input{what, now() + latency};
-        input.request = request;
-        input.attempt = attempt;
-        return input;
+    /// Sends an event to a balancer, where it arrives after `latency`.
+    void send(int balancer, BalancerEvent event, Duration latency) {
+        mailboxes.send(balancer, {now() + latency, std::move(event)});
     }
 };
 
--- a/lab/simulation/simulation_event.h
+++ b/lab/simulation/simulation_event.h
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "scenario/simulated_server.h"
-#include "simulation/simulated_balancer.h"
+#include "simulation/balancer_messages.h"
 
 namespace headrouter::simulation {
 
@@ -25,7 +25,7 @@
 /// A balancer's answer reaches the client.
 struct AnswerArrives {
     uint64_t request = 0;
-    Output::What answer = Output::What::up;
+    BalancerAnswer answer = BalancerAnswer::established;
     Duration retry_after;
 };
 /// A balancer's connection reaches a server.
