--- a/lab/experiments/main.cpp
+++ b/lab/experiments/main.cpp
@@ -84,7 +84,7 @@
             if (!a.captures.empty() || !a.record.empty())
                 throw ParseError(
                     "captures are played and taken on the model; on sockets, the operator's file takes them");
-            if (arm.placing.policy != simulation::PolicyKind::brain)
+            if (arm.placing.policy != simulation::PolicyKind::balancing)
                 throw ParseError(a.file + ": arm " + arm.placing.name +
                                  ": expected policy \"brain\" on sockets, where the "
                                  "program itself runs");
@@ -225,7 +225,7 @@
                         "play the clients and the list of a capture in place of the file's own");
         if (sub == run)
             sub->add_option("--record", a.record,
-                            "take a capture of what each Brain is told, into this folder");
+                            "take a capture of what each policy is told, into this folder");
         else
             sub->add_option("--seeds", a.seeds, "in place of the file's number")->check(CLI::Range(1, 1000));
     }
--- a/lab/simulation/policy_factory.h
+++ b/lab/simulation/policy_factory.h
@@ -23,7 +23,7 @@
     virtual void on_gossip(TimePoint, int slot, const std::string& bytes) = 0;
 };
 
-enum class PolicyKind { brain, random, least_connections, two_choices, rendezvous };
+enum class PolicyKind { balancing, random, least_connections, two_choices, rendezvous };
 const char* word(PolicyKind);
 bool policy_from(const std::string& text, PolicyKind&);
 
--- a/lab/simulation/simulated_balancer.cpp
+++ b/lab/simulation/simulated_balancer.cpp
@@ -116,7 +116,7 @@
     return it == requests_.end() ? nullptr : &it->second;
 }
 
-bool SimulatedBalancer::is_pending_attempt(const ActiveRequest& request, int attempt) const {
+bool SimulatedBalancer::is_pending_attempt(const ActiveRequest& request, int attempt) {
     return request.is_pending && request.attempt == attempt;
 }
 
@@ -287,10 +287,10 @@
 
 // ---- outputs ----
 
-void SimulatedBalancer::send(BalancerCommand command) {
+void SimulatedBalancer::send(const BalancerCommand& command) {
     const DigestRow row = std::visit(DigestRowOf{now_}, command);
     digest_ = XXH64(&row, sizeof row, digest_);
-    outputs_.push_back({now_, std::move(command)});
+    outputs_.push_back({now_, command});
 }
 
 void SimulatedBalancer::close_server_connection(uint64_t id, const ActiveRequest& request) {
--- a/lab/simulation/simulated_balancer.h
+++ b/lab/simulation/simulated_balancer.h
@@ -113,15 +113,15 @@
     void start_process();
     void play(const Timer&);
     void on_attempt_timer(const AttemptTimer&);
-    void end_attempt(uint64_t request, AttemptOutcome, bool is_silent = false);
+    void end_attempt(uint64_t id, AttemptOutcome, bool is_silent = false);
     void perform_actions();
     void perform(const PendingAttempt&);
     void perform(const AnswerClient&);
     void set_attempt_timer(TimePoint at, uint64_t request, int attempt);
-    void close_server_connection(uint64_t request, const ActiveRequest&);
-    void send(BalancerCommand);
+    void close_server_connection(uint64_t id, const ActiveRequest&);
+    void send(const BalancerCommand&);
     ActiveRequest* find(uint64_t request);
-    bool is_pending_attempt(const ActiveRequest&, int attempt) const;
+    static bool is_pending_attempt(const ActiveRequest&, int attempt);
     bool accepts_new_requests(int server) const;
 
     const scenario::Scenario& scenario_;
--- a/lab/simulation/simulation.h
+++ b/lab/simulation/simulation.h
@@ -22,7 +22,7 @@
 
 struct Arm {
     std::string name = "brain";
-    PolicyKind policy = PolicyKind::brain;
+    PolicyKind policy = PolicyKind::balancing;
     std::shared_ptr<const Given> given{};
     std::string record_to{};  // a folder for captures of what each BalancingPolicy is told; empty: none
 };
--- a/tests/lab_simulation/test_simulation.cpp
+++ b/tests/lab_simulation/test_simulation.cpp
@@ -122,7 +122,7 @@
     w.traffic.types[1].name = "once", w.traffic.types[1].idempotency = Idempotency::non_idempotent;
     w.traffic.types[2].name = "ref", w.traffic.types[2].idempotency = Idempotency::keyed;
     w.traffic.types[2].dedup_scope = DedupScope::zone;
-    for (const PolicyKind kind : {PolicyKind::brain, PolicyKind::random}) {
+    for (const PolicyKind kind : {PolicyKind::balancing, PolicyKind::random}) {
         const Outcome o = headrouter::simulation::run(w, Arm{"a", kind}, 1, 1);
         EXPECT_EQ(o.rules_broken(), 0);
         EXPECT_GT(o.failed, 0);
