--- a/src/affinity/failover_table.h
+++ b/src/affinity/failover_table.h
@@ -1,4 +1,4 @@
-// Affinity keys that have recently failed over from a server (design 6).
+/// Affinity keys that have recently failed over from a server.
 #pragma once
 #include <cstddef>
 #include <deque>
--- a/src/base/server_index.h
+++ b/src/base/server_index.h
@@ -4,7 +4,6 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <iterator>
 #include <type_traits>
 
 namespace headrouter {
@@ -35,12 +34,6 @@
    public:
     class Iterator {
        public:
-        using iterator_category = std::input_iterator_tag;
-        using value_type = ServerIndex;
-        using difference_type = std::ptrdiff_t;
-        using pointer = const ServerIndex*;
-        using reference = ServerIndex;
-
         constexpr explicit Iterator(size_t at) : at_(at) {}
         constexpr ServerIndex operator*() const { return ServerIndex{at_}; }
         constexpr Iterator& operator++() {
@@ -55,7 +48,7 @@
     };
 
     constexpr explicit ServerIndexRange(size_t count) : count_(count) {}
-    [[nodiscard]] constexpr Iterator begin() const { return Iterator{0}; }
+    [[nodiscard]] static constexpr Iterator begin() { return Iterator{0}; }
     [[nodiscard]] constexpr Iterator end() const { return Iterator{count_}; }
 
    private:
--- a/src/fleet_load/eligible_server.h
+++ b/src/fleet_load/eligible_server.h
@@ -8,8 +8,8 @@
 /// A server to which this balancer may send connections.
 struct EligibleServer {
     ServerIndex server;
-    gossip::ShortServerId short_id;
-    double weight;
+    gossip::ShortServerId short_id = 0;
+    double weight = 0;
 };
 
 }  // namespace headrouter::fleet_load
--- a/src/fleet_load/rendezvous_ranking.cpp
+++ b/src/fleet_load/rendezvous_ranking.cpp
@@ -13,7 +13,7 @@
     std::vector<double>& scores = ranking.scores;
     while (scores.size() < servers.size()) {
         const WeightedServer& server = servers[scores.size()];
-        ranking.order.push_back(ServerIndex{scores.size()});
+        ranking.order.emplace_back(scores.size());
         scores.push_back(-std::log(Pcg32(key_hash, server.hash).uniform()) / server.weight);
     }
     std::sort(ranking.order.begin(), ranking.order.end(),
--- a/src/fleet_load/subset_order.h
+++ b/src/fleet_load/subset_order.h
@@ -19,7 +19,7 @@
 
 /// For each server, the part of a connection that is counted against the balancer's share of it: the server
 /// takes a connection while its load and that part stay within the share. With n connections in all these are
-/// the servers of the first n steps (docs/design.md, departure 9). `replica_index` lies below
+/// the servers of the first n steps. `replica_index` lies below
 /// `replica_count`.
 [[nodiscard]] std::vector<double> subset_thresholds(uint64_t replica_index, int replica_count,
                                                     const std::vector<WeightedServer>& servers);
--- a/src/gossip/load_tally.h
+++ b/src/gossip/load_tally.h
@@ -15,7 +15,7 @@
 /// The load on a server, in mean load units.
 struct IndexedLoad {
     ServerIndex server;
-    double load;
+    double load = 0;
 };
 
 /// One balancer's loads of a round.
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -15,12 +15,12 @@
     /// A server that needs a look of its own.
     struct DegradedServer {
         ServerIndex server;
-        double load;
-        double weight;  ///< less for slow start and failures; 0 where it is not counted
-        double share;   ///< by that weight, up to its load limit
+        double load = 0;
+        double weight = 0;  ///< less for slow start and failures; 0 where it is not counted
+        double share = 0;   ///< by that weight, up to its load limit
         std::optional<double> load_limit;
-        bool is_counted;  ///< has a share
-        bool is_open;     ///< may take this request
+        bool is_counted = false;  ///< has a share
+        bool is_open = false;     ///< may take this request
     };
     double total_load = 0;                       ///< this balancer's, the request's counted in
     double counted_weight = 0;                   ///< of all servers that have a share
--- a/src/policy/gossip_coordinator.h
+++ b/src/policy/gossip_coordinator.h
@@ -35,6 +35,9 @@
     explicit GossipCoordinator(const Parts&);
     GossipCoordinator(const GossipCoordinator&) = delete;
     GossipCoordinator& operator=(const GossipCoordinator&) = delete;
+    GossipCoordinator(GossipCoordinator&&) = delete;
+    GossipCoordinator& operator=(GossipCoordinator&&) = delete;
+    ~GossipCoordinator() = default;
 
     /// The configuration was set or has changed.
     void configure();
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -33,8 +33,8 @@
     /// What apply() found.
     struct Applied {
         ServerIndex server;
-        bool is_new;
-        bool is_restarted;  ///< another process under a known id, by its time of launch
+        bool is_new = false;
+        bool is_restarted = false;  ///< another process under a known id, by its time of launch
     };
     /// An endpoint update begins; its endpoints follow by apply(), then end_update().
     void begin_update() { ++updates_; }
