--- a/lab/simulation/policy_factory.cpp
+++ b/lab/simulation/policy_factory.cpp
@@ -35,7 +35,7 @@
         policy_.on_load_report(now, id, micros);
     }
     void on_latency_report(TimePoint now, const ServerId& id, double ms) override {
-        if (policy_.knows(id)) policy_.on_latency_report(now, id, ms);
+        if (policy_.has_server(id)) policy_.on_latency_report(now, id, ms);
     }
     void on_endpoints(TimePoint now, EndpointUpdateKind kind, const std::vector<Endpoint>& list) override {
         policy_.on_endpoints(now, kind, list);
--- a/src/capture/recording_policy.cpp
+++ b/src/capture/recording_policy.cpp
@@ -21,7 +21,7 @@
     recorder_->record(event_.at, bytes_);
 }
 
-// The fields are set before the policy hears of the event: it may take the values over.
+// The fields are set before the event is delivered, as the policy may take the values over.
 template <class SetFields, class Deliver>
 void RecordingPolicy::record_and_deliver(EventKind kind, TimePoint now, SetFields set_fields,
                                          Deliver deliver_to_policy) {
@@ -138,7 +138,7 @@
     return is_understood;
 }
 
-// The policy's actions: each is kept where an event is being recorded, and carried out.
+// The policy's actions: recorded, where an event is, and forwarded.
 
 void RecordingPolicy::start_attempt(RequestId id, const ServerId& server, Duration timeout) {
     if (is_recording_event_) event_actions_.start_attempt(id, server, timeout);
--- a/src/capture/recording_policy.h
+++ b/src/capture/recording_policy.h
@@ -11,27 +11,26 @@
 
 namespace headrouter::capture {
 
-/// Where events are recorded to. Used on the policy's thread.
+/// Where events are recorded. Used on the policy's thread.
 class EventRecorder {
    public:
     virtual ~EventRecorder() = default;
-    /// Whether the policy's whole state is wanted before the next event.
+    /// Whether begin_segment() is to be called before the next event.
     [[nodiscard]] virtual bool wants_state() const = 0;
-    /// The state as of `now`, before the event that comes next.
+    /// `state`: the policy's whole state at `now`, before the next event.
     virtual void begin_segment(TimePoint now, std::string state) = 0;
     /// An event with its actions, as encode() writes it.
     virtual void record(TimePoint now, std::string_view event) = 0;
 };
 
-/// The only way into the policy for a balancer: it holds the policy, and records on the way what the policy
-/// is told and answers. Without a recorder that costs a look at a pointer. The events are those of
-/// BalancingPolicy.
+/// Owns the policy and is the only way to it. Forwards each event to the policy and each action to `actions`,
+/// and records both while there is a recorder. The events are those of BalancingPolicy.
 class RecordingPolicy : private PolicyActions {
    public:
     RecordingPolicy(PolicyConfig config, uint64_t seed, PolicyActions& actions, TimePoint now)
         : actions_(actions), policy_(std::move(config), seed, *this, now) {}
 
-    /// Records from the next event on; nullptr: no more. The recorder outlives its use here.
+    /// Records from the next event on; null ends the recording. The recorder must outlive its use here.
     void record_to(EventRecorder* recorder) { recorder_ = recorder; }
 
     void on_request(TimePoint now, Request request);
@@ -50,12 +49,13 @@
     /// False where the message was not understood; nothing was done then.
     bool on_gossip(TimePoint now, int replica_index, const std::string& bytes);
 
-    const PolicyConfig& told() const { return policy_.config(); }
-    bool knows(const ServerId& id) const { return policy_.has_server(id); }
-    int avoided(TimePoint now) const { return policy_.count_unselectable(now); }
+    [[nodiscard]] const PolicyConfig& config() const { return policy_.config(); }
+    /// Whether an endpoint list has ever named the server.
+    [[nodiscard]] bool has_server(const ServerId& id) const { return policy_.has_server(id); }
+    /// Listed servers that would get no new connection now.
+    [[nodiscard]] int count_unselectable(TimePoint now) const { return policy_.count_unselectable(now); }
 
-    /// For a hot restart: the state, and taking it over before any event. Throws ParseError as
-    /// capture::restore().
+    /// For a hot restart. The state is restored before any event; throws ParseError as capture::restore().
     [[nodiscard]] std::string state() const { return state_of(policy_); }
     void restore(std::string_view state) { capture::restore(policy_, state); }
 
@@ -77,9 +77,9 @@
     EventRecorder* recorder_ = nullptr;
     RecordedEvent event_;  // the one that is being recorded
     bool is_recording_event_ = false;
-    ActionRecorder event_actions_;  // what the policy has done on it
-    std::string bytes_;             // room for its bytes, kept from event to event
-    BalancingPolicy policy_;        // last: it sets its first timer while it is made
+    ActionRecorder event_actions_;  // the policy's actions on it
+    std::string bytes_;             // its bytes; a member so that their memory is used again
+    BalancingPolicy policy_;        // last: it sets its first timer while it is constructed
 };
 
 }  // namespace headrouter::capture
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -129,7 +129,7 @@
 
 admin::MetricsSnapshot RequestRouter::metrics() const {
     return {config_.request_class_names, setup_counters_, active_requests_.size(), endpoints_.present_count(),
-            static_cast<size_t>(policy_.avoided(environment_.now()))};
+            static_cast<size_t>(policy_.count_unselectable(environment_.now()))};
 }
 
 void RequestRouter::on_tick() {
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -91,7 +91,7 @@
 
     /// The wall clock less the steady one, as the policy counts with it: after a hot restart the previous
     /// process's until `reconfigure` is called.
-    Duration wall_clock_offset() const { return policy_.told().wall_clock_offset; }
+    Duration wall_clock_offset() const { return policy_.config().wall_clock_offset; }
     admin::MetricsSnapshot metrics() const;
 
    private:
