--- a/src/affinity/failover_table.cpp
+++ b/src/affinity/failover_table.cpp
@@ -9,20 +9,20 @@
 
 void FailoverTable::record(TimePoint now, const std::string& key, ServerIndex server, bool is_parked) {
     if (key.empty()) return;
-    while (!by_age_.empty() &&
-           (by_age_.size() >= most_keys || now - by_age_.front().second > entry_lifetime)) {
-        const auto& [oldest, recorded_at] = by_age_.front();
-        const auto it = entries_.find(oldest);
-        if (it != entries_.end() && it->second.at == recorded_at) entries_.erase(it);
-        by_age_.pop_front();
+    while (!state_.by_age.empty() &&
+           (state_.by_age.size() >= most_keys || now - state_.by_age.front().second > entry_lifetime)) {
+        const auto& [oldest, recorded_at] = state_.by_age.front();
+        const auto it = state_.entries.find(oldest);
+        if (it != state_.entries.end() && it->second.at == recorded_at) state_.entries.erase(it);
+        state_.by_age.pop_front();
     }
-    entries_[key] = Entry{server, now, is_parked};
-    by_age_.emplace_back(key, now);
+    state_.entries[key] = Entry{server, now, is_parked};
+    state_.by_age.emplace_back(key, now);
 }
 
 const FailoverTable::Entry* FailoverTable::find(TimePoint now, const std::string& key) const {
-    const auto it = entries_.find(key);
-    if (it == entries_.end() || now - it->second.at > entry_lifetime) return nullptr;
+    const auto it = state_.entries.find(key);
+    if (it == state_.entries.end() || now - it->second.at > entry_lifetime) return nullptr;
     return &it->second;
 }
 
--- a/src/affinity/failover_table.h
+++ b/src/affinity/failover_table.h
@@ -11,8 +11,6 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// For each affinity key the server that failed it last. Bounded in size, and entries end after half a
 /// minute.
 class FailoverTable {
@@ -23,17 +21,21 @@
         bool is_parked = false;  ///< the server may still have the connection; its packets went elsewhere
     };
 
+    struct State {
+        std::map<std::string, Entry> entries;                  ///< by affinity key
+        std::deque<std::pair<std::string, TimePoint>> by_age;  ///< each record(), also of keys recorded again
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// The server failed a request with this key, or (`is_parked`) lost its packets. No effect without a key.
     void record(TimePoint now, const std::string& key, ServerIndex server, bool is_parked);
     /// The key's entry, null where it has none or an old one. Valid until the next record().
     const Entry* find(TimePoint now, const std::string& key) const;
 
    private:
-    friend struct StateAccess;
-    friend struct PolicyInspector;
-    std::map<std::string, Entry> entries_;
-    std::deque<std::pair<std::string, TimePoint>>
-        by_age_;  // each record(), also of keys recorded again since
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/affinity/group_table.cpp
+++ b/src/affinity/group_table.cpp
@@ -11,8 +11,8 @@
 
 const std::vector<GroupTable::Members>& GroupTable::servers_of(const std::string& group) const {
     static const std::vector<Members> none;
-    const auto it = groups_.find(group);
-    return it == groups_.end() ? none : it->second;
+    const auto it = state_.groups.find(group);
+    return it == state_.groups.end() ? none : it->second;
 }
 
 int GroupTable::members_on(const std::string& group, ServerIndex server) const {
@@ -31,15 +31,15 @@
 // thousandth. How often two of its own belong together tells how large groups are; where it does not, the
 // groups are small, and their preferred servers few.
 double GroupTable::size_uncertainty() const {
-    return (connections_ * (connections_ - 1) / 2 + least_pairs) / (pairs_ + 1);
+    return (state_.connections * (state_.connections - 1) / 2 + least_pairs) / (state_.pairs + 1);
 }
 
 void GroupTable::change(const std::string& group, ServerIndex server, int by) {
-    std::vector<Members>& servers = groups_[group];
+    std::vector<Members>& servers = state_.groups[group];
     int others = std::min(by, 0);
     for (const Members& members : servers) others += members.count;
-    pairs_ += by * others;
-    connections_ += by;
+    state_.pairs += by * others;
+    state_.connections += by;
     const auto it = std::find_if(servers.begin(), servers.end(),
                                  [&](const Members& members) { return members.server == server; });
     if (it == servers.end()) {
@@ -48,7 +48,7 @@
         it->count += by;
         if (it->count == 0) servers.erase(it);
     }
-    if (servers.empty()) groups_.erase(group);
+    if (servers.empty()) state_.groups.erase(group);
 }
 
 }  // namespace headrouter
--- a/src/affinity/group_table.h
+++ b/src/affinity/group_table.h
@@ -2,14 +2,13 @@
 #pragma once
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "base/server_index.h"
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Counts the members of affinity groups by server, and how often two connections are in one group.
 class GroupTable {
    public:
@@ -18,6 +17,15 @@
         int count = 0;
     };
 
+    struct State {
+        std::unordered_map<std::string, std::vector<Members>> groups;  ///< looked up only: in no order
+        double connections = 0;                                        ///< of all groups
+        double pairs = 0;  ///< pairs of connections that are in one group
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     void add(const std::string& group, ServerIndex server) { change(group, server, 1); }
     /// Takes one away that was added.
     void remove(const std::string& group, ServerIndex server) { change(group, server, -1); }
@@ -30,12 +38,9 @@
     double size_uncertainty() const;
 
    private:
-    friend struct StateAccess;
-    friend struct PolicyInspector;
     void change(const std::string& group, ServerIndex server, int by);
 
-    std::unordered_map<std::string, std::vector<Members>> groups_;  // looked up only: its order is arbitrary
-    double connections_ = 0, pairs_ = 0;  // in groups; pairs of them that are in one group
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/base/pcg32.h
+++ b/src/base/pcg32.h
@@ -4,23 +4,30 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 /// Permuted congruential generator PCG-XSH-RR, with 64 bits of state and 32 of output (O'Neill, 2014,
 /// pcg-random.org). Generators of the same seed and another `stream` give independent sequences.
 class Pcg32 {
    public:
-    explicit Pcg32(uint64_t seed, uint64_t stream = default_stream) : increment_((stream << 1) | 1) {
+    struct State {
+        uint64_t state = 0;
+        uint64_t increment = 1;  ///< odd; different in each stream
+    };
+
+    explicit Pcg32(uint64_t seed, uint64_t stream = default_stream) {
+        state_.increment = (stream << 1) | 1;
         next();
-        state_ += seed;
+        state_.state += seed;
         next();
     }
 
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// The next 32 bits, uniformly distributed.
     uint32_t next() {
         constexpr uint64_t multiplier = 6364136223846793005ULL;  // Knuth's MMIX
-        const uint64_t old = state_;
-        state_ = old * multiplier + increment_;
+        const uint64_t old = state_.state;
+        state_.state = old * multiplier + state_.increment;
         const auto mixed = static_cast<uint32_t>(((old >> 18) ^ old) >> 27);
         const auto rotation = static_cast<uint32_t>(old >> 59);
         return (mixed >> rotation) | (mixed << ((32 - rotation) & 31));
@@ -30,10 +37,8 @@
     double uniform() { return (next() + 0.5) / 4294967296.0; }
 
    private:
-    friend struct ComponentStateAccess;
     static constexpr uint64_t default_stream = 0x5851f42d4c957f2dULL;
-    uint64_t state_ = 0;
-    uint64_t increment_;  // odd
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -1,6 +1,11 @@
-// Bytes for plain values, out and in, by one function for both ways: whoever visits a field writes it with
-// Out and reads it with In. Numbers are eight bytes, least first; texts and lists have their length before
-// them. In throws ParseError at the end of the bytes and never makes room for more than they can hold.
+/// \file
+/// Plain values as bytes. One function serves both ways: `visit(archive, value)` writes the value to a
+/// ByteWriter and reads it from a ByteReader, so that the form of each type stands in one place.
+///
+/// A number takes eight bytes, least significant first; a flag or an enumerator of one byte takes one; a text
+/// or a list has its length before it, in four bytes. A plain struct is visited by the list of its
+/// fields, for_each_field(), a component by its
+/// state.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -16,191 +21,299 @@
 #include <utility>
 #include <vector>
 
-#include "base/parse_error.h"
 #include "base/server_index.h"
 #include "base/time.h"
 
 namespace headrouter::capture {
 
-class Out {
+/// Appends to a string, which must outlive it.
+class ByteWriter {
    public:
     static constexpr bool writes = true;
-    explicit Out(std::string& bytes) : bytes_(bytes) {}
-    void raw(const void* from, size_t n) { bytes_.append(static_cast<const char*>(from), n); }
+
+    explicit ByteWriter(std::string& bytes) : bytes_(bytes) {}
+
+    void raw(const void* from, size_t size) { bytes_.append(static_cast<const char*>(from), size); }
 
    private:
     std::string& bytes_;
 };
 
-class In {
+/// Reads bytes that may be cut off or garbled. Its errors are ParseErrors that name the offset.
+class ByteReader {
    public:
     static constexpr bool writes = false;
-    explicit In(std::string_view bytes) : bytes_(bytes) {}
-    void raw(void* into, size_t n) {
-        if (n > bytes_.size()) throw ParseError("the bytes end too early");
-        std::memcpy(into, bytes_.data(), n);
-        bytes_.remove_prefix(n);
+
+    /// `name`: what the bytes are, for errors; it and the bytes must outlive the reader.
+    ByteReader(std::string_view bytes, std::string_view name) : bytes_(bytes), name_(name) {}
+
+    void raw(void* into, size_t size) {
+        if (size > left()) fail_at_end(size);
+        std::memcpy(into, bytes_.data() + offset_, size);
+        offset_ += size;
     }
-    size_t left() const { return bytes_.size(); }
+
+    /// Bytes that were not read yet.
+    [[nodiscard]] size_t left() const { return bytes_.size() - offset_; }
+
+    /// Throws where `value`, the byte read last, is neither 0 nor 1.
+    void check_flag(uint8_t value) const;
+
+    /// Throws where so many elements, each of a byte at least, cannot follow: room is made for them.
+    void check_count(size_t count) const;
+
+    /// Throws where bytes are left.
+    void check_end() const;
 
    private:
+    [[noreturn]] void fail_at_end(size_t size) const;
+    [[nodiscard]] std::string place(size_t offset) const;
+
     std::string_view bytes_;
+    std::string_view name_;
+    size_t offset_ = 0;
 };
 
-/// An archive that takes plain values as they are, in place of their bytes: one that records which fields
-/// there are.
-template <class A, class T>
-concept TakesPlainValues = requires(A& archive, T& value) {
+/// An archive that takes plain values themselves in place of their bytes: it records which fields there are.
+template <class Archive, class Value>
+concept TakesPlainValues = requires(Archive& archive, Value& value) {
     archive.plain_value(value);
 };
 
-template <class A, class T>
-requires std::is_arithmetic_v<T> || std::is_enum_v<T>
-void visit(A& a, T& value) {
-    if constexpr (TakesPlainValues<A, T>) {
-        a.plain_value(value);
-    } else if constexpr (sizeof(T) == 1) {
-        uint8_t byte = 0;
-        if constexpr (A::writes) byte = static_cast<uint8_t>(value);
-        a.raw(&byte, 1);
-        if constexpr (!A::writes) {
-            if (std::is_same_v<T, bool> && byte > 1) throw ParseError("a flag is neither 0 nor 1");
-            value = static_cast<T>(byte);
-        }
-    } else if constexpr (std::is_floating_point_v<T>) {
-        auto wide = static_cast<double>(value);
-        a.raw(&wide, sizeof wide);
-        if constexpr (!A::writes) value = static_cast<T>(wide);
-    } else {
-        auto wide = static_cast<int64_t>(value);
-        a.raw(&wide, sizeof wide);
-        if constexpr (!A::writes) value = static_cast<T>(wide);
+/// An archive whose bytes may be wrong.
+template <class Archive>
+concept ChecksCounts = requires(const Archive& archive, size_t count) {
+    archive.check_count(count);
+};
+
+/// Stands for any visitor of fields.
+struct AnyVisitor {
+    template <class Field>
+    void operator()(Field&&) const {}
+};
+
+/// A plain struct with a list of its fields: `for_each_field(value, visit)` calls `visit` with each of them,
+/// in the order of their bytes.
+template <class Struct>
+concept HasFields = requires(Struct& value) {
+    for_each_field(value, AnyVisitor{});
+};
+
+/// A component that gives its state out and takes it back.
+template <class Component>
+concept HasState = requires(Component& component, typename Component::State state) {
+    component.restore(std::move(state));
+    state = component.state();
+};
+
+/// Whether the bytes go on. Fields that were added to a form later stand at its end, where older bytes end.
+template <class Archive>
+bool has_more(const Archive& archive) {
+    if constexpr (Archive::writes)
+        return true;
+    else
+        return archive.left() > 0;
+}
+
+template <class Archive, class Value>
+void visit_byte(Archive& archive, Value& value) {
+    auto byte = static_cast<uint8_t>(value);
+    archive.raw(&byte, sizeof byte);
+    if constexpr (!Archive::writes) {
+        if constexpr (std::is_same_v<Value, bool>) archive.check_flag(byte);
+        value = static_cast<Value>(byte);
     }
 }
 
-template <class A>
-void visit(A& a, Duration& s) {
-    visit(a, s.ns);
+template <class Archive, class Value>
+void visit_number(Archive& archive, Value& value) {
+    using Wide = std::conditional_t<std::is_floating_point_v<Value>, double, int64_t>;
+    auto wide = static_cast<Wide>(value);
+    archive.raw(&wide, sizeof wide);
+    if constexpr (!Archive::writes) value = static_cast<Value>(wide);
 }
-template <class A>
-void visit(A& a, TimePoint& t) {
-    visit(a, t.ns);
+
+template <class Archive, class Value>
+requires std::is_arithmetic_v<Value> || std::is_enum_v<Value>
+void visit(Archive& archive, Value& value) {
+    if constexpr (TakesPlainValues<Archive, Value>)
+        archive.plain_value(value);
+    else if constexpr (sizeof(Value) == 1)
+        visit_byte(archive, value);
+    else
+        visit_number(archive, value);
 }
 
-// How many follow; each takes a byte at the least.
-template <class A>
-size_t visit_size(A& a, size_t size) {
-    auto n = static_cast<uint32_t>(size);
-    a.raw(&n, sizeof n);
-    if constexpr (!A::writes)
-        if (n > a.left()) throw ParseError("a list is longer than the bytes that are left");
-    return n;
+template <class Archive>
+void visit(Archive& archive, Duration& duration) {
+    visit(archive, duration.ns);
 }
 
-template <class A>
-void visit(A& a, std::string& text) {
-    const size_t n = visit_size(a, text.size());
-    if constexpr (!A::writes) text.resize(n);
-    a.raw(text.data(), n);
+template <class Archive>
+void visit(Archive& archive, TimePoint& time) {
+    visit(archive, time.ns);
 }
 
-template <class A, class T>
-void visit(A& a, std::optional<T>& o) {
-    bool has = o.has_value();
-    visit(a, has);
-    if constexpr (!A::writes) has ? void(o.emplace()) : o.reset();
-    if (has) visit(a, *o);
+/// The length of a text or list that has `size` elements where it is written; returns how many follow.
+template <class Archive>
+size_t visit_size(Archive& archive, size_t size) {
+    auto count = static_cast<uint32_t>(size);
+    archive.raw(&count, sizeof count);
+    if constexpr (ChecksCounts<Archive>) archive.check_count(count);
+    return count;
 }
 
-template <class A>
-void visit(A& a, ServerIndex& server) {
-    int index = server.to_int();
-    visit(a, index);
-    if constexpr (!A::writes) server = ServerIndex{index};
+template <class Archive>
+void visit(Archive& archive, std::string& text) {
+    const size_t size = visit_size(archive, text.size());
+    if constexpr (!Archive::writes) text.resize(size);
+    archive.raw(text.data(), size);
+}
+
+template <class Archive, class Value>
+void visit(Archive& archive, std::optional<Value>& optional) {
+    bool has_value = optional.has_value();
+    visit(archive, has_value);
+    if constexpr (!Archive::writes) {
+        optional.reset();
+        if (has_value) optional.emplace();
+    }
+    if (has_value) visit(archive, *optional);
 }
 
-/// A number that there may be none of, which the bytes hold as a plain number, -1 for none. Any other
-/// negative integer is read as none too.
-template <class A, class T>
-void visit_negative_for_none(A& a, std::optional<T>& value) {
-    using Plain = std::conditional_t<std::is_floating_point_v<T>, double, int64_t>;
+/// A number that there may be none of, in the form of a plain number: -1 for none. Any other negative integer
+/// is read as none too.
+template <class Archive, class Number>
+void visit_negative_for_none(Archive& archive, std::optional<Number>& optional) {
+    using Plain = std::conditional_t<std::is_floating_point_v<Number>, double, int64_t>;
     constexpr Plain none = -1;
     Plain plain = none;
-    if constexpr (std::is_same_v<T, ServerIndex>) {
-        if (value) plain = value->to_int();
+    if constexpr (std::is_same_v<Number, ServerIndex>) {
+        if (optional) plain = optional->to_int();
     } else {
-        if (value) plain = static_cast<Plain>(*value);
+        if (optional) plain = static_cast<Plain>(*optional);
     }
-    visit(a, plain);
-    if constexpr (!A::writes) {
-        const bool is_none = std::is_floating_point_v<T> ? plain == none : plain < 0;
-        value.reset();
-        if (!is_none) value = static_cast<T>(plain);
+    visit(archive, plain);
+    if constexpr (!Archive::writes) {
+        const bool is_none = std::is_floating_point_v<Number> ? plain == none : plain < 0;
+        optional.reset();
+        if (!is_none) optional = static_cast<Number>(plain);
     }
 }
-template <class A>
-void visit(A& a, std::optional<ServerIndex>& server) {
-    visit_negative_for_none(a, server);
+
+/// Marks such a number in a list of fields.
+template <class Number>
+struct NegativeForNone {
+    std::optional<Number>& value;
+};
+
+template <class Archive, class Number>
+void visit(Archive& archive, NegativeForNone<Number>& optional) {
+    visit_negative_for_none(archive, optional.value);
 }
 
-template <class A, class T, class U>
-void visit(A& a, std::pair<T, U>& p) {
-    visit(a, p.first);
-    visit(a, p.second);
+template <class Archive>
+void visit(Archive& archive, ServerIndex& server) {
+    int index = server.to_int();
+    visit(archive, index);
+    if constexpr (!Archive::writes) server = ServerIndex{index};
 }
 
-template <class A, class T, size_t n>
-void visit(A& a, std::array<T, n>& all) {
-    for (T& one : all) visit(a, one);
+template <class Archive>
+void visit(Archive& archive, std::optional<ServerIndex>& server) {
+    visit_negative_for_none(archive, server);
 }
 
-template <class A, class List>
-void visit_list(A& a, List& all) {
-    const size_t n = visit_size(a, all.size());
-    if constexpr (A::writes)
-        for (auto& one : all) visit(a, one);
-    else {
-        all.clear();
-        for (size_t k = 0; k < n; ++k) visit(a, all.emplace_back());
-    }
+template <class Archive, class First, class Second>
+void visit(Archive& archive, std::pair<First, Second>& pair) {
+    visit(archive, pair.first);
+    visit(archive, pair.second);
 }
-template <class A, class T>
-void visit(A& a, std::vector<T>& all) {
-    visit_list(a, all);
-}
-template <class A, class T>
-void visit(A& a, std::deque<T>& all) {
-    visit_list(a, all);
-}
-
-// In the order of the keys, so that the same table gives the same bytes whatever its history.
-template <class A, class Table>
-void visit_table(A& a, Table& table) {
-    const size_t n = visit_size(a, table.size());
-    if constexpr (A::writes) {
-        std::vector<typename Table::key_type> keys;
-        for (const auto& entry : table) keys.push_back(entry.first);
-        std::sort(keys.begin(), keys.end());
-        for (auto& key : keys) {
-            visit(a, key);
-            visit(a, table.at(key));
-        }
+
+template <class Archive, class Element, size_t size>
+void visit(Archive& archive, std::array<Element, size>& elements) {
+    for (Element& element : elements) visit(archive, element);
+}
+
+template <class Archive, class List>
+void visit_list(Archive& archive, List& list) {
+    const size_t count = visit_size(archive, list.size());
+    if constexpr (Archive::writes) {
+        for (auto& element : list) visit(archive, element);
     } else {
-        table.clear();
-        for (size_t k = 0; k < n; ++k) {
-            typename Table::key_type key{};
-            visit(a, key);
-            visit(a, table[key]);
-        }
+        // Room is made element by element: a garbled count must not make it for more than the bytes hold.
+        list.clear();
+        for (size_t k = 0; k < count; ++k) visit(archive, list.emplace_back());
+    }
+}
+
+template <class Archive, class Element>
+void visit(Archive& archive, std::vector<Element>& list) {
+    visit_list(archive, list);
+}
+
+template <class Archive, class Element>
+void visit(Archive& archive, std::deque<Element>& list) {
+    visit_list(archive, list);
+}
+
+/// The keys in ascending order, so that equal tables give equal bytes whatever their history.
+template <class Table>
+std::vector<typename Table::key_type> sorted_keys(const Table& table) {
+    std::vector<typename Table::key_type> keys;
+    keys.reserve(table.size());
+    for (const auto& entry : table) keys.push_back(entry.first);
+    std::sort(keys.begin(), keys.end());
+    return keys;
+}
+
+template <class Archive, class Table>
+void write_table(Archive& archive, Table& table) {
+    for (auto& key : sorted_keys(table)) {
+        visit(archive, key);
+        visit(archive, table.at(key));
     }
 }
-template <class A, class K, class V>
-void visit(A& a, std::map<K, V>& table) {
-    visit_table(a, table);
+
+template <class Archive, class Table>
+void read_table(Archive& archive, Table& table, size_t count) {
+    table.clear();
+    for (size_t k = 0; k < count; ++k) {
+        typename Table::key_type key{};
+        visit(archive, key);
+        visit(archive, table[key]);
+    }
 }
-template <class A, class K, class V>
-void visit(A& a, std::unordered_map<K, V>& table) {
-    visit_table(a, table);
+
+template <class Archive, class Table>
+void visit_table(Archive& archive, Table& table) {
+    const size_t count = visit_size(archive, table.size());
+    if constexpr (Archive::writes)
+        write_table(archive, table);
+    else
+        read_table(archive, table, count);
+}
+
+template <class Archive, class Key, class Value>
+void visit(Archive& archive, std::map<Key, Value>& table) {
+    visit_table(archive, table);
+}
+
+template <class Archive, class Key, class Value>
+void visit(Archive& archive, std::unordered_map<Key, Value>& table) {
+    visit_table(archive, table);
+}
+
+template <class Archive, HasFields Struct>
+void visit(Archive& archive, Struct& value) {
+    for_each_field(value, [&](auto&& field) { visit(archive, field); });
+}
+
+template <class Archive, HasState Component>
+void visit(Archive& archive, Component& component) {
+    typename Component::State state = component.state();
+    visit(archive, state);
+    if constexpr (!Archive::writes) component.restore(std::move(state));
 }
 
 }  // namespace headrouter::capture
--- a/src/capture/edit.cpp
+++ b/src/capture/edit.cpp
@@ -10,13 +10,17 @@
 #include <system_error>
 #include <utility>
 
+#include "base/parse_error.h"
 #include "capture/event_codec.h"
 #include "capture/policy_visits.h"
 
 namespace headrouter {
 
 void StateAccess::hide_names(BalancingPolicy& b, const std::function<void(std::string&)>& hide) {
-    for (auto& [id, request] : b.requests_) hide(request.key), hide(request.group);
+    for (auto& [id, request] : b.requests_) {
+        hide(request.key);
+        hide(request.group);
+    }
     const auto hide_keys = [&](auto& table) {
         std::decay_t<decltype(table)> hidden;
         for (auto& [name, value] : table) {
@@ -26,10 +30,14 @@
         }
         table = std::move(hidden);
     };
-    hide_keys(b.groups_.groups_);
+    GroupTable::State groups = b.groups_.state();
+    hide_keys(groups.groups);
+    b.groups_.restore(std::move(groups));
     b.rankings_.rankings_.clear();  // made anew from the new names
-    hide_keys(b.failovers_.entries_);
-    for (auto& [name, at] : b.failovers_.by_age_) hide(name);
+    FailoverTable::State failovers = b.failovers_.state();
+    hide_keys(failovers.entries);
+    for (auto& [name, at] : failovers.by_age) hide(name);
+    b.failovers_.restore(std::move(failovers));
 }
 
 namespace capture {
--- a/src/capture/event_codec.cpp
+++ b/src/capture/event_codec.cpp
@@ -1,11 +1,18 @@
 #include "capture/event_codec.h"
 
-#include "capture/policy_visits.h"
+#include "base/parse_error.h"
+#include "capture/event_fields.h"
 
 namespace headrouter::capture {
 
 namespace {
 
+template <class Kind>
+[[noreturn]] void fail_unknown_kind(const char* what, Kind kind, Kind count) {
+    throw ParseError(what, "is of kind " + std::to_string(static_cast<int>(kind)),
+                     "0 to " + std::to_string(static_cast<int>(count) - 1));
+}
+
 template <class Archive>
 void visit_action(Archive& archive, RecordedAction& action) {
     visit(archive, action.kind);
@@ -30,7 +37,7 @@
             visit(archive, action.replica_index);
             visit(archive, action.gossip);
             break;
-        default: throw ParseError("an action of an unknown kind");
+        default: fail_unknown_kind("an action", action.kind, RecordedAction::Kind::count);
     }
 }
 
@@ -80,38 +87,38 @@
             visit(archive, event.replica_index);
             visit(archive, event.gossip);
             break;
-        default: throw ParseError("an event of an unknown kind");
+        default: fail_unknown_kind("an event", event.kind, EventKind::count);
     }
 }
 
 template <class Archive>
 void visit_event(Archive& archive, RecordedEvent& event) {
     visit(archive, event.kind);
-    if (event.kind >= EventKind::count) throw ParseError("an event of an unknown kind");
+    if (event.kind >= EventKind::count) fail_unknown_kind("an event", event.kind, EventKind::count);
     visit(archive, event.at);
     visit_fields(archive, event);
     const size_t actions = visit_size(archive, event.actions.size());
     if constexpr (!Archive::writes) event.actions.resize(actions);
     for (RecordedAction& action : event.actions) visit_action(archive, action);
     if (event.kind != EventKind::reconfigured) return;
-    // Settings that were added later stand behind the actions, where older captures end.
-    visit_later(archive, event.config);
-    visit_latest(archive, event.config);
+    // Settings that were added later follow the actions: older captures end there.
+    visit_gossip_settings(archive, event.config);
+    visit_subset_settings(archive, event.config);
 }
 
 }  // namespace
 
 void encode(const RecordedEvent& event, std::string& bytes) {
-    Out out(bytes);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): Out only reads; one function serves both ways.
-    visit_event(out, const_cast<RecordedEvent&>(event));
+    ByteWriter writer(bytes);
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): a writer changes nothing.
+    visit_event(writer, const_cast<RecordedEvent&>(event));
 }
 
 RecordedEvent decode(std::string_view bytes) {
-    In in(bytes);
+    ByteReader reader(bytes, "an event");
     RecordedEvent event;
-    visit_event(in, event);
-    if (in.left() > 0) throw ParseError("bytes follow the event");
+    visit_event(reader, event);
+    reader.check_end();
     return event;
 }
 
--- a/src/capture/event_codec.h
+++ b/src/capture/event_codec.h
@@ -11,7 +11,7 @@
 /// Appends the event, with its actions, to `bytes`.
 void encode(const RecordedEvent& event, std::string& bytes);
 
-/// The event that encode() wrote. Throws ParseError where the bytes are of none.
+/// The event that encode() wrote. Throws ParseError where the bytes are cut off or garbled.
 [[nodiscard]] RecordedEvent decode(std::string_view bytes);
 
 }  // namespace headrouter::capture
--- a/src/capture/policy_state.cpp
+++ b/src/capture/policy_state.cpp
@@ -1,5 +1,6 @@
 #include "capture/policy_state.h"
 
+#include "base/parse_error.h"
 #include "capture/policy_visits.h"
 
 namespace headrouter::capture {
@@ -8,33 +9,40 @@
 
 void check_request_class(const RecordedEvent& event, const BalancingPolicy& policy) {
     const int classes = static_cast<int>(policy.config().request_classes.size());
-    if (event.request.type < 0 || event.request.type >= classes)
-        throw ParseError("a request of an unknown request class");
+    const int request_class = event.request.type;
+    if (request_class >= 0 && request_class < classes) return;
+    throw ParseError("request " + std::to_string(event.request.id),
+                     "is of request class " + std::to_string(request_class),
+                     "one of " + std::to_string(classes));
 }
 
 void check_server(const RecordedEvent& event, const BalancingPolicy& policy) {
-    if (!policy.has_server(event.server)) throw ParseError("a latency report of an unknown server");
+    if (policy.has_server(event.server)) return;
+    throw ParseError("a latency report", "is of server '" + event.server + "'", "one that was listed before");
 }
 
 void check_config(const RecordedEvent& event, const BalancingPolicy& policy) {
-    if (event.config.request_classes.size() < policy.config().request_classes.size())
-        throw ParseError("a configuration that takes request classes away");
+    const size_t classes = policy.config().request_classes.size();
+    if (event.config.request_classes.size() >= classes) return;
+    throw ParseError("a configuration",
+                     "has " + std::to_string(event.config.request_classes.size()) + " request classes",
+                     std::to_string(classes) + " at least, as before");
 }
 
 }  // namespace
 
 std::string state_of(const BalancingPolicy& policy) {
     std::string bytes;
-    Out out(bytes);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): Out only reads; one function serves both ways.
-    StateAccess::visit_state(out, const_cast<BalancingPolicy&>(policy));
+    ByteWriter writer(bytes);
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): a writer changes nothing.
+    StateAccess::visit_state(writer, const_cast<BalancingPolicy&>(policy));
     return bytes;
 }
 
 void restore(BalancingPolicy& policy, std::string_view state) {
-    In in(state);
-    StateAccess::visit_state(in, policy);
-    if (in.left() > 0) throw ParseError("bytes follow the state");
+    ByteReader reader(state, "the policy's state");
+    StateAccess::visit_state(reader, policy);
+    reader.check_end();
 }
 
 void deliver(const RecordedEvent& event, BalancingPolicy& policy) {
--- a/src/capture/policy_state.h
+++ b/src/capture/policy_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// The whole state of a policy as bytes, and events told to a policy again.
+/// The whole state of a policy as bytes, and recorded events delivered to a policy.
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,14 +8,15 @@
 
 namespace headrouter::capture {
 
-/// The whole state of `policy`: one to which it is restored decides alike from then on.
+/// The whole state of `policy`: a policy to which it is restored decides alike from then on.
 [[nodiscard]] std::string state_of(const BalancingPolicy& policy);
 
-/// Throws ParseError where `state` is none that state_of() made; `policy` is then of no use.
+/// Restores what state_of() made. Throws ParseError where the bytes are cut off or garbled; `policy` must not
+/// be used then.
 void restore(BalancingPolicy& policy, std::string_view state);
 
-/// Tells `policy` the event. Throws ParseError where this policy cannot be told so: it does not know the
-/// server or the request class, or the configuration takes classes away.
+/// Delivers the event to `policy`. Throws ParseError, with `policy` unchanged, where the event cannot be this
+/// policy's: it names an unknown server or request class, or its configuration has fewer request classes.
 void deliver(const RecordedEvent& event, BalancingPolicy& policy);
 
 }  // namespace headrouter::capture
--- a/src/capture/policy_visits.h
+++ b/src/capture/policy_visits.h
@@ -1,17 +1,18 @@
-// How the policy's types are written and read: those that its events carry, and a whole BalancingPolicy.
+/// \file
+/// The state of a whole policy as bytes, in the form of state version 1.
 #pragma once
 #include <functional>
 #include <string>
 
 #include "base/hash.h"
 #include "capture/archive.h"
-#include "capture/component_visits.h"
+#include "capture/component_fields.h"
+#include "capture/event_fields.h"
 #include "policy/balancing_policy.h"
 
 namespace headrouter {
 
-struct StateAccess : ComponentStateAccess {
-    using ComponentStateAccess::visit_state;
+struct StateAccess {
     template <class A>
     static void visit_state(A&, BalancingPolicy&);
     template <class A>
@@ -27,131 +28,6 @@
     static void hide_names(BalancingPolicy&, const std::function<void(std::string&)>& hide);  // edit.cpp
 };
 
-namespace capture {
-
-template <class A>
-void visit(A& a, RequestClass& t) {
-    visit(a, t.idempotency);
-    visit(a, t.dedup_scope);
-    visit(a, t.setup_objective);
-    visit(a, t.deadline);
-    visit(a, t.dedup_window);
-    visit(a, t.message_objective);
-}
-
-template <class A>
-void visit(A& a, PolicyConfig& d) {
-    visit(a, d.request_classes);
-    visit(a, d.tenants);
-    visit(a, d.max_attempts);
-    visit(a, d.replica_index);
-    visit(a, d.zone);
-    visit(a, d.cross_zone_cost);
-    visit(a, d.polls_endpoints);
-    visit(a, d.passthrough);
-    visit(a, d.groups);
-    visit(a, d.advises_retry_after);
-    visit(a, d.park);
-    visit(a, d.max_retry_after);
-    visit(a, d.step);
-    visit(a, d.slow_start_time);
-}
-
-// What came to be told later stands behind all else, where an older capture just ends.
-template <class A>
-void visit_later(A& a, PolicyConfig& d) {
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
-    visit(a, d.replica_count);
-    visit(a, d.gossip_enabled);
-    visit(a, d.overload_multiple);
-    visit(a, d.wall_clock_offset);
-}
-
-// And later still.
-template <class A>
-void visit_latest(A& a, PolicyConfig& d) {
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
-    visit(a, d.subset_order);
-    visit(a, d.aggregates_fleet_load);
-}
-
-template <class A>
-void visit(A& a, Endpoint& l) {
-    visit(a, l.server);
-    visit(a, l.weight);
-    visit(a, l.state);
-    visit(a, l.zone);
-    visit(a, l.cell);
-    visit(a, l.launched);
-}
-
-template <class A>
-void visit(A& a, Attempt& l) {
-    visit(a, l.server);
-    visit(a, l.sent);
-    visit(a, l.pending);
-    visit(a, l.established);
-}
-
-// A request as asked for and the policy's record of it, in the order that captures hold.
-template <class A>
-void visit(A& a, RequestState& request) {
-    visit(a, request.id);
-    visit(a, request.type);
-    visit(a, request.tenant);
-    visit(a, request.is_reconnect);
-    visit(a, request.mid_stream);
-    visit(a, request.key);
-    visit(a, request.group);
-    visit(a, request.hinted_load);
-    visit(a, request.deadline);
-    visit(a, request.attempts);
-    visit_negative_for_none(a, request.may_have_run);
-    visit_negative_for_none(a, request.chosen_server);
-    visit_negative_for_none(a, request.connection_index);
-    visit_negative_for_none(a, request.load);
-    visit(a, request.is_protected);
-    visit(a, request.queued);
-    bool unused = false;  // a field of earlier versions
-    visit(a, unused);
-}
-
-// An event's request has the same form, with a record that is still empty.
-template <class A>
-void visit(A& a, Request& request) {
-    RequestState state(request);
-    visit(a, state);
-    if constexpr (!A::writes) request = std::move(state);
-}
-
-template <class A>
-void visit(A& a, LoadReport& r) {
-    visit(a, r.load_share);
-}
-
-template <class A>
-void visit(A& a, ConnectionLoad& load) {
-    visit(a, load.unreported);
-    visit(a, load.reported);
-}
-
-template <class A>
-void visit(A& a, GroupTable::Members& members) {
-    visit(a, members.server);
-    visit(a, members.count);
-}
-
-template <class A>
-void visit(A& a, FailoverTable::Entry& entry) {
-    visit(a, entry.server);
-    visit(a, entry.at);
-    visit(a, entry.is_parked);
-}
-
-}  // namespace capture
-
 template <class A>
 void StateAccess::visit_server(A& a, ServerState& server) {
     using capture::visit;
@@ -186,7 +62,7 @@
     visit(a, server.subset_draw);
     visit(a, outliers.sent_in_cycle_);
     visit(a, outliers.lost_in_cycle_);
-    visit_state(a, drain.excess_);
+    visit(a, drain.excess_);
     visit(a, drain.remaining_);
     visit(a, outliers.consecutive_resets_);
     visit(a, drain.interval_);
@@ -199,24 +75,21 @@
 // is left out shows in the test that plays on from a state.
 template <class A>
 void StateAccess::visit_state(A& a, BalancingPolicy& policy) {
+    using capture::visit;
     visit_first_form(a, policy);
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
+    if (!capture::has_more(a)) return;
     visit_gossip(a, policy);
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
-    capture::visit_latest(a, policy.config_);
-    capture::visit(a, policy.gossip_.headroom_.has_timer_);
-    visit_state(a, policy.gossip_.headroom_.aggregator_);
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
-    visit_state(a, policy.retry_budget_);
-    if constexpr (!A::writes)
-        if (a.left() == 0) return;
-    capture::visit(a, policy.config_.overload_window);
-    capture::visit(a, policy.config_.quota);
-    for (ServerState& server : policy.servers_.servers_) visit_state(a, server.slow_start.permits_);
-    visit_state(a, policy.early_resets_);
+    if (!capture::has_more(a)) return;
+    capture::visit_subset_settings(a, policy.config_);
+    visit(a, policy.gossip_.headroom_.has_timer_);
+    visit(a, policy.gossip_.headroom_.aggregator_);
+    if (!capture::has_more(a)) return;
+    visit(a, policy.retry_budget_);
+    if (!capture::has_more(a)) return;
+    visit(a, policy.config_.overload_window);
+    visit(a, policy.config_.quota);
+    for (ServerState& server : policy.servers_.servers_) visit(a, server.slow_start.permits_);
+    visit(a, policy.early_resets_);
 }
 
 template <class A>
@@ -224,8 +97,9 @@
     using capture::visit;
     ServerTable& servers = policy.servers_;
     ServerLoads& loads = policy.loads_;
+    GroupTable::State groups = policy.groups_.state();
     visit(a, policy.config_);
-    visit_state(a, policy.random_);
+    visit(a, policy.random_);
     const size_t count = capture::visit_size(a, servers.servers_.size());
     if constexpr (!A::writes) {
         servers.servers_.clear();
@@ -233,12 +107,13 @@
     }
     for (ServerState& server : servers.servers_) visit_server(a, server);
     visit(a, servers.index_);
-    visit(a, policy.groups_.groups_);
+    visit(a, groups.groups);
     visit(a, policy.rankings_.rankings_);
     visit(a, policy.degraded_.list_);
     visit(a, loads.total_);
-    visit(a, policy.groups_.connections_);
-    visit(a, policy.groups_.pairs_);
+    visit(a, groups.connections);
+    visit(a, groups.pairs);
+    if constexpr (!A::writes) policy.groups_.restore(std::move(groups));
     visit(a, servers.active_weight_);
     visit(a, servers.active_listed_weight_);
     visit(a, servers.active_count_);
@@ -246,9 +121,8 @@
     visit(a, loads.servers_in_use_);
     visit(a, policy.requests_);
     visit(a, policy.queue_.waiting_);
-    visit_state(a, loads.class_loads_);
-    visit(a, policy.failovers_.entries_);
-    visit(a, policy.failovers_.by_age_);
+    visit(a, loads.class_loads_);
+    visit(a, policy.failovers_);
     visit(a, policy.message_objective_);
     visit(a, policy.endpoints_.is_asked_);
     visit(a, policy.endpoints_.is_watching_);
@@ -256,7 +130,7 @@
     visit(a, policy.endpoints_.asked_at_);
     visit(a, policy.endpoints_.retry_pause_);
     visit(a, policy.warmup_.warm_weight_);
-    capture::visit_later(a, policy.config_);
+    capture::visit_gossip_settings(a, policy.config_);
     for (ServerState& server : servers.servers_) server.id_hash = hash_of(server.endpoint.server);
 }
 
@@ -268,16 +142,20 @@
         visit(a, server.fleet_load);
         visit(a, server.own_load_then);
     }
-    RoundExchange& rounds = gossip.rounds_;
+    RoundExchange& exchange = gossip.rounds_;
     LocationPublisher& locations = gossip.locations_;
-    visit_state(a, gossip.short_ids_);
-    visit_tally(a, rounds.rounds_);
-    visit_state(a, locations.locations_);
-    visit_latest_sum(a, rounds.rounds_);
+    gossip::GossipRounds::State rounds = exchange.rounds_.state();
+    visit(a, gossip.short_ids_);
+    visit(a, rounds.tally);
+    visit(a, locations.locations_);
+    visit(a, rounds.total_load);
+    visit(a, rounds.received_at);
+    visit(a, rounds.last_round);
+    if constexpr (!A::writes) exchange.rounds_.restore(std::move(rounds));
     visit(a, locations.unpublished_);
     visit(a, locations.credit_);
     visit(a, locations.has_timer_);
-    visit(a, rounds.has_timer_);
+    visit(a, exchange.has_timer_);
 }
 
 }  // namespace headrouter
--- a/src/capture/replay.h
+++ b/src/capture/replay.h
@@ -11,11 +11,11 @@
 #include "capture/action_recorder.h"
 #include "capture/policy_state.h"
 #include "capture/recorded_event.h"
-#include "capture/segment.h"
+#include "capture/segment_reader.h"
 
 namespace headrouter::capture {
 
-/// A policy restored from a captured state.
+/// A policy restored from a captured state; it carries nothing out.
 class ReplayedPolicy {
    public:
     /// Throws ParseError where `state` is no policy's.
--- a/src/capture/segment_writer.cpp
+++ b/src/capture/segment_writer.cpp
@@ -31,6 +31,22 @@
     return std::string(name.data()) + extension;
 }
 
+// What the index says of a block; docs/capture-format.md describes it.
+struct IndexEntry {
+    uint64_t offset = 0;
+    TimePoint first;
+    TimePoint last;
+    uint32_t count = 0;
+};
+
+template <class Visitor>
+void for_each_field(IndexEntry& entry, Visitor visit) {
+    visit(entry.offset);
+    visit(entry.first);
+    visit(entry.last);
+    visit(entry.count);
+}
+
 bool write_all(int file, std::string_view bytes) {
     while (!bytes.empty()) {
         const ssize_t written = ::write(file, bytes.data(), bytes.size());
@@ -85,13 +101,9 @@
 }
 
 void SegmentWriter::append(const Block& block) {
-    Out out(index_);
-    uint64_t offset = offset_;
-    Block copy = block;
-    visit(out, offset);
-    visit(out, copy.first);
-    visit(out, copy.last);
-    visit(out, copy.count);
+    IndexEntry entry{offset_, block.first, block.last, block.count};
+    ByteWriter writer(index_);
+    visit(writer, entry);
     ++blocks_;
     append_bytes(encode(block));
 }
--- a/src/fleet_load/aggregator_election.cpp
+++ b/src/fleet_load/aggregator_election.cpp
@@ -23,30 +23,30 @@
 
 bool AggregatorElection::begin_epoch(TimePoint now, TimePoint wall_time) {
     const int64_t epoch = wall_time.ns / epoch_time.ns;
-    if (epoch == epoch_) return false;
-    epoch_ = epoch;
-    candidate_ = 0;
-    last_candidate_ = initial_last_candidate;
-    since_ = now;
+    if (epoch == state_.epoch) return false;
+    state_.epoch = epoch;
+    state_.candidate = 0;
+    state_.last_candidate = initial_last_candidate;
+    state_.since = now;
     return true;
 }
 
 bool AggregatorElection::replace_silent(TimePoint now, TimePoint headroom_at) {
     const Duration patience = has_answered(headroom_at) ? next_answer_within : answer_within;
-    if (now - std::max(since_, headroom_at) <= patience) return false;
-    ++candidate_;
-    if (candidate_ > last_candidate_) {  // the first ones again, as they may be back by now
-        ++last_candidate_;
-        candidate_ = 0;
+    if (now - std::max(state_.since, headroom_at) <= patience) return false;
+    ++state_.candidate;
+    if (state_.candidate > state_.last_candidate) {  // the first ones again, as they may be back by now
+        ++state_.last_candidate;
+        state_.candidate = 0;
     }
-    since_ = now;
+    state_.since = now;
     return true;
 }
 
 // Drawn, not counted up: neighbours by index often are down, or cut off, together.
 int AggregatorElection::aggregator(int replica_count) const {
-    const auto epoch = static_cast<uint64_t>(epoch_.value_or(no_epoch));
-    const uint64_t seed = epoch * candidates_per_epoch + static_cast<uint64_t>(candidate_);
+    const auto epoch = static_cast<uint64_t>(state_.epoch.value_or(no_epoch));
+    const uint64_t seed = epoch * candidates_per_epoch + static_cast<uint64_t>(state_.candidate);
     return static_cast<int>(mix_bits(seed) % static_cast<uint64_t>(replica_count));
 }
 
--- a/src/fleet_load/fleet_load_aggregator.h
+++ b/src/fleet_load/fleet_load_aggregator.h
@@ -12,6 +12,7 @@
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "base/server_index.h"
@@ -23,11 +24,7 @@
 #include "gossip/gossip_message.h"
 #include "gossip/load_tally.h"
 
-namespace headrouter {
-
-struct ComponentStateAccess;
-
-namespace fleet_load {
+namespace headrouter::fleet_load {
 
 struct OutgoingMessage {
     int replica_index;  ///< of the balancer that it goes to
@@ -37,6 +34,26 @@
 /// One balancer's part in it: reporter, and aggregator for those that report to it. Not thread-safe.
 class FleetLoadAggregator {
    public:
+    struct State {
+        int replica_index = 0;
+        int replica_count = 1;
+        std::vector<EligibleServer> servers;  ///< by short id
+        AggregatorElection election;
+
+        // As a reporter.
+        uint32_t timestamp = 0;  ///< of the latest tick
+        TimePoint ticked_at;
+        TimePoint reported_at;
+        TimePoint loss_at;                         ///< when a message was last seen to be lost
+        std::vector<gossip::ServerLoad> reported;  ///< the latest report
+
+        HeadroomCalculator calculator;  ///< as an aggregator
+        ReceivedHeadroom headroom;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// How often `tick` is to be called.
     static constexpr Duration tick_interval = millis(250);
 
@@ -63,11 +80,9 @@
     [[nodiscard]] double freshness(TimePoint now) const;
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-
     bool was_suspended(TimePoint now) const;
-    int aggregator() const { return election_.aggregator(replica_count_); }
-    bool has_answered() const { return election_.has_answered(headroom_.received_at()); }
+    int aggregator() const { return state_.election.aggregator(state_.replica_count); }
+    bool has_answered() const { return state_.election.has_answered(state_.headroom.received_at()); }
     uint32_t list_checksum() const;
 
     void forget_others(TimePoint now);
@@ -83,21 +98,7 @@
     void aggregate(TimePoint now, std::vector<OutgoingMessage>& out);
     void publish_headroom(TimePoint now, const std::vector<int>& headroom, std::vector<OutgoingMessage>& out);
 
-    int replica_index_ = 0;
-    int replica_count_ = 1;
-    std::vector<EligibleServer> servers_;  // by short id
-    AggregatorElection election_;
-
-    // As a reporter.
-    uint32_t timestamp_ = 0;  // of the latest tick
-    TimePoint ticked_at_;
-    TimePoint reported_at_;
-    TimePoint loss_at_;                         // when a message was last seen to be lost
-    std::vector<gossip::ServerLoad> reported_;  // the latest report
-
-    HeadroomCalculator calculator_;  // as an aggregator
-    ReceivedHeadroom headroom_;
+    State state_;
 };
 
-}  // namespace fleet_load
-}  // namespace headrouter
+}  // namespace headrouter::fleet_load
--- a/src/fleet_load/headroom_calculator.cpp
+++ b/src/fleet_load/headroom_calculator.cpp
@@ -72,14 +72,14 @@
 }
 
 void HeadroomCalculator::begin_epoch() {
-    enough_reporters_at_ = TimePoint{};
-    reporters_.clear();
+    state_.enough_reporters_at = TimePoint{};
+    state_.reporters.clear();
 }
 
 void HeadroomCalculator::on_load_report(TimePoint now, int from, int replica_count,
                                         const gossip::Message& message) {
-    reporters_.resize(static_cast<size_t>(replica_count));
-    Reporter& reporter = reporters_[static_cast<size_t>(from)];
+    state_.reporters.resize(static_cast<size_t>(replica_count));
+    Reporter& reporter = state_.reporters[static_cast<size_t>(from)];
     const bool is_first = reporter.received_at.ns <= 0;
     if (!is_first && !is_newer(message.timestamp, reporter.timestamp, now, reporter.received_at)) return;
     // Of one not heard before, or not for long, nothing is known to be new.
@@ -93,31 +93,31 @@
                                         const std::vector<ServerLoad>& loads) {
     for (const ServerLoad& row : loads) {
         const double before = load_in_report(reporter.loads, row.server);
-        if (row.load > before) arrivals_.add(now, std::min(row.load - before, max_arrivals_per_row));
+        if (row.load > before) state_.arrivals.add(now, std::min(row.load - before, max_arrivals_per_row));
     }
 }
 
 std::optional<std::vector<int>> HeadroomCalculator::compute(TimePoint now, int replica_count,
                                                             const std::vector<EligibleServer>& servers) {
-    if (now - computed_at_ < round_time) return std::nullopt;
+    if (now - state_.computed_at < round_time) return std::nullopt;
     FleetTotals totals = sum_reports(now);
     if (!has_gathered(now, totals.reporters, replica_count)) return std::nullopt;
     for (const EligibleServer& server : servers) totals.servers[server.short_id].discount_outlier();
     std::vector<int> headroom = headroom_for(now, totals, servers);
-    computed_at_ = now;
+    state_.computed_at = now;
     return headroom;
 }
 
 std::vector<int> HeadroomCalculator::current_reporters(TimePoint now) const {
     std::vector<int> replicas;
-    for (size_t k = 0; k < reporters_.size(); ++k)
-        if (reporters_[k].is_current(now)) replicas.push_back(static_cast<int>(k));
+    for (size_t k = 0; k < state_.reporters.size(); ++k)
+        if (state_.reporters[k].is_current(now)) replicas.push_back(static_cast<int>(k));
     return replicas;
 }
 
 HeadroomCalculator::FleetTotals HeadroomCalculator::sum_reports(TimePoint now) const {
     FleetTotals totals;
-    for (const Reporter& reporter : reporters_) {
+    for (const Reporter& reporter : state_.reporters) {
         if (!reporter.is_current(now)) continue;
         ++totals.reporters;
         for (const ServerLoad& row : reporter.loads) totals.servers[row.server].add(row.load);
@@ -127,17 +127,17 @@
 
 bool HeadroomCalculator::has_gathered(TimePoint now, int reporters, int replica_count) {
     if (reporters < std::min(min_reporters, replica_count)) {
-        enough_reporters_at_ = TimePoint{};
+        state_.enough_reporters_at = TimePoint{};
         return false;
     }
-    if (enough_reporters_at_.ns == 0) enough_reporters_at_ = now;
-    return now - enough_reporters_at_ >= gather_time;
+    if (state_.enough_reporters_at.ns == 0) state_.enough_reporters_at = now;
+    return now - state_.enough_reporters_at >= gather_time;
 }
 
 double HeadroomCalculator::arrivals_per_round(TimePoint now) {
     const double counted_seconds =
-        std::clamp(to_seconds(now - enough_reporters_at_), least_counted_seconds, most_counted_seconds);
-    return arrivals_.sum(now) / counted_seconds * to_seconds(round_time);
+        std::clamp(to_seconds(now - state_.enough_reporters_at), least_counted_seconds, most_counted_seconds);
+    return state_.arrivals.sum(now) / counted_seconds * to_seconds(round_time);
 }
 
 // Of each server, what it should get of the connections of the next round: its share by weight, and what its
--- a/src/fleet_load/headroom_calculator.h
+++ b/src/fleet_load/headroom_calculator.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <cstdint>
 #include <optional>
+#include <utility>
 #include <vector>
 
 #include "base/sliding_window.h"
@@ -9,18 +10,34 @@
 #include "fleet_load/eligible_server.h"
 #include "gossip/gossip_message.h"
 
-namespace headrouter {
-
-struct ComponentStateAccess;
-
-namespace fleet_load {
+namespace headrouter::fleet_load {
 
 /// Keeps the latest report of each balancer and computes headroom from them, once a round. Loads are in mean
 /// load units. Not thread-safe.
 class HeadroomCalculator {
    public:
+    /// A balancer that reports its loads to this one.
+    struct Reporter {
+        TimePoint received_at;  ///< of the latest report; zero before the first
+        uint32_t timestamp = 0;
+        std::vector<gossip::ServerLoad> loads;
+
+        /// Whether its latest report still counts.
+        [[nodiscard]] bool is_current(TimePoint now) const;
+    };
+
+    struct State {
+        std::vector<Reporter> reporters;        ///< by replica index
+        SlidingWindow<4> arrivals{seconds(1)};  ///< connections that came up at all reporters
+        TimePoint computed_at;
+        TimePoint enough_reporters_at;  ///< zero while there are too few
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// The reports that were received no longer count.
-    void forget_reports() { reporters_.clear(); }
+    void forget_reports() { state_.reporters.clear(); }
     /// A new epoch: reports are gathered anew, as who has this balancer for its aggregator reports again.
     void begin_epoch();
     /// Takes the load report of a replica, one of so many, unless it is older than the last.
@@ -34,16 +51,6 @@
     [[nodiscard]] std::vector<int> current_reporters(TimePoint now) const;
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-
-    struct Reporter {
-        TimePoint received_at;  // of the latest report; zero before the first
-        uint32_t timestamp = 0;
-        std::vector<gossip::ServerLoad> loads;
-
-        /// Whether its latest report still counts.
-        [[nodiscard]] bool is_current(TimePoint now) const;
-    };
     struct ServerTotal;
     struct FleetTotals;
 
@@ -55,11 +62,7 @@
     /// Connections that come up at all reporters within a round, as they did lately.
     double arrivals_per_round(TimePoint now);
 
-    std::vector<Reporter> reporters_;        // by replica index
-    SlidingWindow<4> arrivals_{seconds(1)};  // connections that came up at all reporters
-    TimePoint computed_at_;
-    TimePoint enough_reporters_at_;  // zero while there are too few
+    State state_;
 };
 
-}  // namespace fleet_load
-}  // namespace headrouter
+}  // namespace headrouter::fleet_load
--- a/src/fleet_load/received_headroom.cpp
+++ b/src/fleet_load/received_headroom.cpp
@@ -25,22 +25,22 @@
 
 void ReceivedHeadroom::accept(TimePoint now, int from, uint32_t timestamp, const std::vector<int>& headroom,
                               size_t server_count) {
-    from_ = from;
-    timestamp_ = timestamp;
-    headroom_ = headroom;
-    headroom_.resize(server_count);
-    received_at_ = now;
-    usually_picked_ += (picked_ - usually_picked_) * usual_gain;
-    picked_ = 0;
+    state_.from = from;
+    state_.timestamp = timestamp;
+    state_.headroom = headroom;
+    state_.headroom.resize(server_count);
+    state_.received_at = now;
+    state_.usually_picked += (state_.picked - state_.usually_picked) * usual_gain;
+    state_.picked = 0;
 }
 
 double ReceivedHeadroom::freshness(TimePoint now) const {
-    if (headroom_.empty() || received_at_.ns == 0) return 0;
-    const double rounds = (now - received_at_) / round_time;
+    if (state_.headroom.empty() || state_.received_at.ns == 0) return 0;
+    const double rounds = (now - state_.received_at) / round_time;
     return std::clamp((rounds_until_stale - rounds) / (rounds_until_stale - rounds_fresh), 0.0, 1.0);
 }
 
-bool ReceivedHeadroom::is_used_up() const { return picked_ > 1 + 2 * usually_picked_; }
+bool ReceivedHeadroom::is_used_up() const { return state_.picked > 1 + 2 * state_.usually_picked; }
 
 std::optional<ServerIndex> ReceivedHeadroom::pick(double replica_place,
                                                   const std::vector<EligibleServer>& servers) {
@@ -48,15 +48,16 @@
     double all_headroom = 0;
     for (size_t k = 0; k < servers.size(); ++k) {
         all_weight += servers[k].weight;
-        all_headroom += servers[k].weight * headroom_[k];
+        all_headroom += servers[k].weight * state_.headroom[k];
     }
     // What the headroom leaves of all weight is the own share's to place: an aggregator that falsely gives
     // headroom to one server only moves to it no more than max_headroom times its share.
-    const double place = fraction_of(replica_place + timestamp_ * timestamp_step + picked_ * pick_step);
-    ++picked_;
+    const double place =
+        fraction_of(replica_place + state_.timestamp * timestamp_step + state_.picked * pick_step);
+    ++state_.picked;
     double rest = place * std::max(all_weight, all_headroom);
     for (size_t k = 0; k < servers.size(); ++k) {
-        rest -= servers[k].weight * headroom_[k];
+        rest -= servers[k].weight * state_.headroom[k];
         if (rest < 0) return servers[k].server;
     }
     return std::nullopt;
--- a/src/fleet_load/received_headroom.h
+++ b/src/fleet_load/received_headroom.h
@@ -2,35 +2,44 @@
 #pragma once
 #include <cstdint>
 #include <optional>
+#include <utility>
 #include <vector>
 
 #include "base/server_index.h"
 #include "base/time.h"
 #include "fleet_load/eligible_server.h"
 
-namespace headrouter {
-
-struct ComponentStateAccess;
-
-namespace fleet_load {
+namespace headrouter::fleet_load {
 
 /// The latest headroom, and the servers picked by it. Not thread-safe.
 class ReceivedHeadroom {
    public:
+    struct State {
+        std::vector<int> headroom;  ///< in the order of the list
+        uint32_t timestamp = 0;     ///< of its sender
+        std::optional<int> from;    ///< replica index of its sender
+        TimePoint received_at;      ///< zero before the first
+        int picked = 0;             ///< since then
+        double usually_picked = 0;  ///< between two headroom messages
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// Takes the headroom of `server_count` servers, in the order of their list, sent by a replica at its
     /// `timestamp`.
     void accept(TimePoint now, int from, uint32_t timestamp, const std::vector<int>& headroom,
                 size_t server_count);
     /// What came is no longer of use, as the list of servers is another.
-    void clear() { headroom_.clear(); }
+    void clear() { state_.headroom.clear(); }
 
     /// Of how many servers there is headroom.
-    size_t size() const { return headroom_.size(); }
+    size_t size() const { return state_.headroom.size(); }
     /// Who sent the latest headroom, if any came.
-    const std::optional<int>& from() const { return from_; }
-    uint32_t timestamp() const { return timestamp_; }
+    const std::optional<int>& from() const { return state_.from; }
+    uint32_t timestamp() const { return state_.timestamp; }
     /// When it came; zero before the first.
-    TimePoint received_at() const { return received_at_; }
+    TimePoint received_at() const { return state_.received_at; }
 
     /// The weight that the headroom deserves: 1 while it is fresh, falling to 0.
     [[nodiscard]] double freshness(TimePoint now) const;
@@ -44,14 +53,7 @@
                                                   const std::vector<EligibleServer>& servers);
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-    std::vector<int> headroom_;  // in the order of the list
-    uint32_t timestamp_ = 0;
-    std::optional<int> from_;
-    TimePoint received_at_;
-    int picked_ = 0;             // since then
-    double usually_picked_ = 0;  // between two headroom messages
+    State state_;
 };
 
-}  // namespace fleet_load
-}  // namespace headrouter
+}  // namespace headrouter::fleet_load
--- a/src/gossip/gossip_rounds.cpp
+++ b/src/gossip/gossip_rounds.cpp
@@ -48,32 +48,32 @@
                           std::vector<ServerEstimate>& servers) {
     // Scaled up for the balancers that have not reported.
     const double scale = std::max(1.0, replica_count / static_cast<double>(sum.reporter_count));
-    if (sum.round <= last_round_ || scale > max_scale) return false;
-    last_round_ = sum.round;
+    if (sum.round <= state_.last_round || scale > max_scale) return false;
+    state_.last_round = sum.round;
     update_total(sum, replica_count, own_load, scale);
     const std::vector<double> reported = reported_loads(sum, servers);
     const double all_weight = active_weight(servers);
     for (size_t k = 0; k < servers.size(); ++k) {
         ServerEstimate& server = servers[k];
-        const double share = total_load_ * server.weight / std::max(all_weight, least_weight);
+        const double share = state_.total_load * server.weight / std::max(all_weight, least_weight);
         const double bound = max_change * std::max(server.pooled_load, share) + change_slack;
         server.pooled_load = std::min(reported[k] * scale, bound);
     }
-    received_at_ = now;
+    state_.received_at = now;
     return true;
 }
 
 // The total may rise freely, as a low one is what would make servers look full, but falls by the factor only.
 // Before the first sum it is guessed from the own load.
 void GossipRounds::update_total(const RoundSum& sum, int replica_count, double own_load, double scale) {
-    const bool is_first = received_at_.ns <= 0;
-    const double known = is_first ? own_load * replica_count / max_change : total_load_;
-    total_load_ = std::max(sum.total_load * scale, known / max_change);
+    const bool is_first = state_.received_at.ns <= 0;
+    const double known = is_first ? own_load * replica_count / max_change : state_.total_load;
+    state_.total_load = std::max(sum.total_load * scale, known / max_change);
 }
 
 double GossipRounds::freshness(TimePoint now) const {
-    if (received_at_.ns == 0) return 0;
-    const double rounds = (now - received_at_) / round_time;
+    if (state_.received_at.ns == 0) return 0;
+    const double rounds = (now - state_.received_at) / round_time;
     return std::clamp((rounds_until_stale - rounds) / (rounds_until_stale - rounds_fresh), 0.0, 1.0);
 }
 
--- a/src/gossip/gossip_rounds.h
+++ b/src/gossip/gossip_rounds.h
@@ -3,6 +3,7 @@
 #pragma once
 #include <cstddef>
 #include <cstdint>
+#include <utility>
 #include <vector>
 
 #include "base/time.h"
@@ -10,8 +11,6 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 namespace gossip {
 
 /// Rounds are told apart by the wall clock that all balancers share.
@@ -35,6 +34,16 @@
 /// What a balancer keeps between two sums. Not thread-safe.
 class GossipRounds {
    public:
+    struct State {
+        LoadTally tally;
+        double total_load = 0;    ///< in mean load units
+        TimePoint received_at;    ///< of the latest sum; zero before the first
+        int64_t last_round = -1;  ///< of the latest sum; -1 before the first
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// Updates the servers' pooled loads by a sum; `own_load` is this balancer's total, `servers` are by
     /// index. False, with nothing changed, where the sum is of an old round or of too few balancers.
     bool on_sum(TimePoint now, const RoundSum& sum, int replica_count, double own_load,
@@ -44,19 +53,15 @@
     [[nodiscard]] double freshness(TimePoint now) const;
 
     /// The load over all servers and balancers that is believed.
-    [[nodiscard]] double total_load() const { return total_load_; }
+    [[nodiscard]] double total_load() const { return state_.total_load; }
 
     /// The reports of the round that this balancer sums.
-    [[nodiscard]] LoadTally& tally() { return tally_; }
+    [[nodiscard]] LoadTally& tally() { return state_.tally; }
 
    private:
-    friend struct headrouter::ComponentStateAccess;
     void update_total(const RoundSum&, int replica_count, double own_load, double scale);
 
-    LoadTally tally_;
-    double total_load_ = 0;
-    TimePoint received_at_;  // of the latest sum; zero before the first
-    int64_t last_round_ = -1;
+    State state_;
 };
 
 }  // namespace gossip
--- a/src/gossip/group_locations.h
+++ b/src/gossip/group_locations.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <cstdint>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "base/server_index.h"
@@ -9,8 +10,6 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 namespace gossip {
 
 /// A server that holds members of a group.
@@ -30,6 +29,12 @@
 /// The locations known of each group, bounded in groups and in locations of each. Not thread-safe.
 class GroupLocations {
    public:
+    /// By the hash of the group's name.
+    using State = std::unordered_map<uint32_t, std::vector<GroupLocation>>;
+
+    [[nodiscard]] const State& state() const { return groups_; }
+    void restore(State state) { groups_ = std::move(state); }
+
     /// The location of the pair, made where there is none yet; the group's oldest makes way. The reference is
     /// valid until the next call.
     GroupLocation& find_or_add(uint32_t group, ServerIndex server);
@@ -47,8 +52,7 @@
                                                               double& credit, double cost);
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-    std::unordered_map<uint32_t, std::vector<GroupLocation>> groups_;
+    State groups_;
 };
 
 }  // namespace gossip
--- a/src/gossip/short_server_ids.h
+++ b/src/gossip/short_server_ids.h
@@ -3,20 +3,23 @@
 #include <optional>
 #include <string>
 #include <unordered_map>
+#include <utility>
 
 #include "base/server_index.h"
 #include "gossip/gossip_message.h"
 
-namespace headrouter {
-
-struct ComponentStateAccess;
-
-namespace gossip {
+namespace headrouter::gossip {
 
 /// From short ids to the servers known here. Where two known servers share a short id, it means neither. Not
 /// thread-safe.
 class ShortServerIds {
    public:
+    /// The server of each short id; none where several have it.
+    using State = std::unordered_map<ShortServerId, std::optional<ServerIndex>>;
+
+    [[nodiscard]] const State& state() const { return servers_; }
+    void restore(State state) { servers_ = std::move(state); }
+
     /// The low bits of a hash of a server's id, the same at every balancer.
     [[nodiscard]] static ShortServerId short_id_of(const std::string& server_id);
 
@@ -27,9 +30,7 @@
     [[nodiscard]] std::optional<ServerIndex> find(ShortServerId) const;
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-    std::unordered_map<ShortServerId, std::optional<ServerIndex>> servers_;  // none: shared by several
+    State servers_;
 };
 
-}  // namespace gossip
-}  // namespace headrouter
+}  // namespace headrouter::gossip
--- a/src/hot_restart/transfer_state.cpp
+++ b/src/hot_restart/transfer_state.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "base/parse_error.h"
 #include "capture/policy_visits.h"
 #include "hot_restart/state_version.h"
 
@@ -207,7 +208,7 @@
                 if constexpr (!A::writes) e.active_requests_.wire_ids_.insert(flow.request_line.wire_id);
             });
         capture::visit(a, e.adopter_.started_at_);
-        StateAccess::visit_state(a, e.recent_reconnects_);
+        capture::visit(a, e.recent_reconnects_);
         std::string module;
         if constexpr (A::writes) module = e.policy_.state();
         capture::visit(a, module);
@@ -271,14 +272,14 @@
 TransferState pack(Components components, TimePoint now) {
     Envelope envelope;
     Descriptors descriptors;
-    capture::Out state_out(envelope.state);
+    capture::ByteWriter state_out(envelope.state);
     HandoverAccess::visit_all(state_out, descriptors, components);
     envelope.version_name = state_version.name;
     envelope.packed_at = now;
     envelope.checksum = checksum(envelope.state);
 
     TransferState packed;
-    capture::Out out(packed.bytes);
+    capture::ByteWriter out(packed.bytes);
     visit_envelope(out, envelope);
     packed.descriptors = std::move(descriptors.given);
     return packed;
@@ -286,14 +287,14 @@
 
 void unpack(Components components, std::string_view bytes, std::vector<Fd> descriptors, TimePoint now) {
     Envelope envelope;
-    capture::In in(bytes);
+    capture::ByteReader in(bytes, "the transfer");
     visit_envelope(in, envelope);
     check(envelope, now);
     if (in.left() > 0) throw ParseError("the state is garbled");
 
     Descriptors taken;
     taken.taken = std::move(descriptors);
-    capture::In state_in(envelope.state);
+    capture::ByteReader state_in(envelope.state, "the state");
     HandoverAccess::visit_all(state_in, taken, components);
     if (state_in.left() > 0 || taken.next != taken.taken.size())
         throw ParseError("more came than the state speaks of");
--- a/src/retry/early_reset_rate.h
+++ b/src/retry/early_reset_rate.h
@@ -6,28 +6,34 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 /// Early resets over establishments, both of the last five seconds. Not thread-safe.
 class EarlyResetRate {
    public:
-    void on_established(TimePoint now) { established_.add(now, 1); }
+    struct State {
+        SlidingWindow<5> established{seconds(1)};
+        SlidingWindow<5> resets{seconds(1)};
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
+    void on_established(TimePoint now) { state_.established.add(now, 1); }
 
     /// A reset counts only where the connection was established within the window: those of older ones say
     /// nothing of whether new ones hold.
     void on_reset(TimePoint now, TimePoint established_at) {
-        if (now - established_at < window) resets_.add(now, 1);
+        if (now - established_at < window) state_.resets.add(now, 1);
     }
 
     /// Between 0 and, where establishments have left the window before their resets, a little over 1. Counts
     /// one more establishment, against judging by a single one.
-    [[nodiscard]] double rate(TimePoint now) { return resets_.sum(now) / (established_.sum(now) + 1); }
+    [[nodiscard]] double rate(TimePoint now) {
+        return state_.resets.sum(now) / (state_.established.sum(now) + 1);
+    }
 
    private:
-    friend struct ComponentStateAccess;
     static constexpr Duration window = seconds(5);
-    SlidingWindow<5> established_{seconds(1)};
-    SlidingWindow<5> resets_{seconds(1)};
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/retry/retry_budget.h
+++ b/src/retry/retry_budget.h
@@ -5,27 +5,31 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 /// Retries as a part of the requests, both of the last five seconds. Not thread-safe.
 class RetryBudget {
    public:
-    void on_request(TimePoint now) { requests_.add(now, 1); }
-    void on_retry(TimePoint now) { retries_.add(now, 1); }
+    struct State {
+        SlidingWindow<5> requests{seconds(1)};
+        SlidingWindow<5> retries{seconds(1)};
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
+    void on_request(TimePoint now) { state_.requests.add(now, 1); }
+    void on_retry(TimePoint now) { state_.retries.add(now, 1); }
 
     /// Whether one more retry may be sent now.
     [[nodiscard]] bool allows_retry(TimePoint now) {
-        return retries_.sum(now) < min_retries + retry_ratio * requests_.sum(now);
+        return state_.retries.sum(now) < min_retries + retry_ratio * state_.requests.sum(now);
     }
 
    private:
-    friend struct ComponentStateAccess;
     /// Retries in the window, whatever the traffic: with few requests, they are what shows a failed server.
     static constexpr double min_retries = 2;
     /// Further retries for each request in the window.
     static constexpr double retry_ratio = 0.2;
-    SlidingWindow<5> requests_{seconds(1)};
-    SlidingWindow<5> retries_{seconds(1)};
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/slow_start/warmup_permits.cpp
+++ b/src/slow_start/warmup_permits.cpp
@@ -39,30 +39,33 @@
 double issued_allowance(double allowance) { return allowance / 2 + std::sqrt(allowance); }
 
 void WarmupPermits::reset(TimePoint discovered_at) {
-    *this = WarmupPermits{};
-    discovered_at_ = discovered_at;
+    state_ = State{};
+    state_.discovered_at = discovered_at;
 }
 
 void WarmupPermits::update(TimePoint now, TimePoint server_started, const SlowStartConfig& config,
                            double warm_capacity, uint64_t server_hash) {
     const double issued_per_second = issued_allowance(overload_allowance(config, warm_capacity)) /
                                      to_seconds(config.overload_window) / std::max(1, config.replica_count);
-    if (updated_at_.ns == 0) {
-        issued_level_ = issued_per_second * std::max(0.0, to_seconds(now - server_started));
-        discovery_level_ = issued_per_second * std::max(0.0, to_seconds(discovered_at_ - server_started));
-        next_permit_level_ = place_in_round(config, server_hash);
+    if (state_.updated_at.ns == 0) {
+        state_.issued_level = issued_per_second * std::max(0.0, to_seconds(now - server_started));
+        state_.discovery_level =
+            issued_per_second * std::max(0.0, to_seconds(state_.discovered_at - server_started));
+        state_.next_permit_level = place_in_round(config, server_hash);
     } else {
-        issued_level_ += issued_per_second * std::max(0.0, to_seconds(now - updated_at_));
+        state_.issued_level += issued_per_second * std::max(0.0, to_seconds(now - state_.updated_at));
     }
-    updated_at_ = now;
-    const double oldest_valid =
-        std::max(discovery_level_, issued_level_ - issued_per_second * to_seconds(config.overload_window));
-    if (next_permit_level_ < oldest_valid) next_permit_level_ += std::ceil(oldest_valid - next_permit_level_);
+    state_.updated_at = now;
+    const double oldest_valid = std::max(
+        state_.discovery_level, state_.issued_level - issued_per_second * to_seconds(config.overload_window));
+    if (state_.next_permit_level < oldest_valid)
+        state_.next_permit_level += std::ceil(oldest_valid - state_.next_permit_level);
 }
 
 bool WarmupPermits::is_available(double load, const SlowStartConfig& config) const {
-    if (next_permit_level_ > issued_level_) return false;
-    const auto permit_number = std::llround(next_permit_level_ * std::max(1, config.replica_count) - 0.5);
+    if (state_.next_permit_level > state_.issued_level) return false;
+    const auto permit_number =
+        std::llround(state_.next_permit_level * std::max(1, config.replica_count) - 0.5);
     const auto permits_needed = static_cast<long long>(std::ceil(std::clamp(load, 1.0, max_request_load)));
     return permit_number % permits_needed == 0;
 }
--- a/src/slow_start/warmup_permits.h
+++ b/src/slow_start/warmup_permits.h
@@ -13,8 +13,6 @@
 
 namespace headrouter {
 
-struct ComponentStateAccess;
-
 namespace slow_start {
 
 /// What the permits are computed from; the same at every balancer but for `replica_index`.
@@ -39,6 +37,18 @@
 /// The permits of one balancer for one server. Not thread-safe.
 class WarmupPermits {
    public:
+    /// Levels count rounds of permits, one permit for each balancer, since the server's start.
+    struct State {
+        TimePoint discovered_at;
+        TimePoint updated_at;  ///< zero before the first update
+        double issued_level = 0;
+        double discovery_level = 0;  ///< the issued level at `discovered_at`
+        double next_permit_level = 0;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// Starts anew for a server that has started. Permits issued before `discovered_at`, when this process
     /// first heard of it, are not this process's: another one may have used them.
     void reset(TimePoint discovered_at);
@@ -53,17 +63,10 @@
     [[nodiscard]] bool is_available(double load, const SlowStartConfig&) const;
 
     /// Uses the permit that is available.
-    void consume() { next_permit_level_ += 1; }
+    void consume() { state_.next_permit_level += 1; }
 
    private:
-    friend struct headrouter::ComponentStateAccess;
-
-    TimePoint discovered_at_;
-    TimePoint updated_at_;  // zero before the first update
-    // Levels count rounds of permits, one for each balancer, since the server's start.
-    double issued_level_ = 0;
-    double discovery_level_ = 0;  // the issued level at `discovered_at_`
-    double next_permit_level_ = 0;
+    State state_;
 };
 
 }  // namespace slow_start
--- a/tests/capture/test_optional_numbers.cpp
+++ b/tests/capture/test_optional_numbers.cpp
@@ -16,25 +16,25 @@
 template <class T>
 std::string bytes_of(T value) {
     std::string bytes;
-    Out out(bytes);
-    visit(out, value);
+    ByteWriter writer(bytes);
+    visit(writer, value);
     return bytes;
 }
 
 template <class T>
 std::string bytes_of_optional(std::optional<T> value) {
     std::string bytes;
-    Out out(bytes);
-    visit_negative_for_none(out, value);
+    ByteWriter writer(bytes);
+    visit_negative_for_none(writer, value);
     return bytes;
 }
 
 template <class T>
 std::optional<T> read_optional(const std::string& bytes) {
     std::optional<T> value = T(7);
-    In in(bytes);
-    visit_negative_for_none(in, value);
-    EXPECT_EQ(in.left(), 0u);
+    ByteReader reader(bytes, "the number");
+    visit_negative_for_none(reader, value);
+    EXPECT_EQ(reader.left(), 0u);
     return value;
 }
 
--- a/tests/capture/test_segment.cpp
+++ b/tests/capture/test_segment.cpp
@@ -160,3 +160,58 @@
     EXPECT_EQ(read_bytes(with).reading.end, SegmentEnd::complete);
     EXPECT_EQ(read_bytes(with).frames, read_bytes(all).frames);
 }
+
+// What an error says of an event that no build can have recorded.
+static std::string error_of(const RecordedEvent& event) {
+    Memory tape;
+    Story story(&tape);
+    story.list(some_servers(3));
+    ReplayedPolicy policy;
+    policy.restore(story.ear.state());
+    try {
+        policy.deliver(event);
+    } catch (const ParseError& error) {
+        return error.what();
+    }
+    return "";
+}
+
+TEST(Segment, AnEventThatThePolicyCannotHaveHadIsRefusedWithWhatWasExpected) {
+    RecordedEvent event;
+    event.kind = EventKind::request_arrived;
+    event.request.id = 5;
+    event.request.type = 1;
+    EXPECT_EQ(error_of(event), "request 5 is of request class 1; expected one of 1");
+    event.kind = EventKind::latency_report;
+    event.server = "nowhere";
+    EXPECT_EQ(error_of(event),
+              "a latency report is of server 'nowhere'; expected one that was listed before");
+    event.kind = EventKind::reconfigured;
+    EXPECT_EQ(error_of(event), "a configuration has 0 request classes; expected 1 at least, as before");
+}
+
+TEST(Segment, AnEventOfAnUnknownKindIsRefusedWithTheKnownOnes) {
+    std::string frame;
+    encode(RecordedEvent{}, frame);
+    frame[0] = '\x63';
+    try {
+        (void)decode(frame);
+        ADD_FAILURE() << "not refused";
+    } catch (const ParseError& error) {
+        EXPECT_STREQ(error.what(), "an event is of kind 99; expected 0 to 11");
+    }
+}
+
+TEST(Segment, AFrameThatIsLongerThanItsBlockIsRefusedWithItsOffset) {
+    std::string block;
+    append_frame(block, "abc");
+    append_frame(block, "defg");
+    block.pop_back();
+    try {
+        for_each_frame(block, [](std::string_view) { return true; });
+        ADD_FAILURE() << "not refused";
+    } catch (const ParseError& error) {
+        EXPECT_STREQ(error.what(),
+                     "the frame at offset 7 of its block has a length of 4; expected 3 bytes at most");
+    }
+}
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -136,7 +136,7 @@
 
 // When a state was packed: behind the name of its version.
 TimePoint packed_at(const std::string& state) {
-    capture::In in(state);
+    capture::ByteReader in(state, "the state");
     std::string version;
     TimePoint at;
     capture::visit(in, version);
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -115,7 +115,7 @@
     void record_failover(TimePoint now, const Request& request, const ServerId& id) {
         policy.failovers_.record(now, request.key, index(id), false);
     }
-    size_t recorded_failovers() { return policy.failovers_.entries_.size(); }
+    size_t recorded_failovers() { return policy.failovers_.state().entries.size(); }
 
     /// The first `size` servers of this replica's deterministic subsetting order.
     std::vector<ServerId> subset(size_t size) {
