--- a/src/discovery/endpoint_table.h
+++ b/src/discovery/endpoint_table.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <optional>
 #include <unordered_map>
+#include <utility>
 
 #include "discovery/endpoint_update.h"
 
@@ -10,6 +11,15 @@
 /// Not synchronized: it belongs to the thread of the event loop.
 class EndpointTable {
    public:
+    struct Entry {
+        std::optional<Address> address;
+        EndpointState state = EndpointState::active;
+    };
+    using State = std::unordered_map<ServerId, Entry>;
+
+    const State& state() const { return entries_; }
+    void restore(State state) { entries_ = std::move(state); }
+
     void apply(const EndpointUpdate& update);
 
     /// Also of a removed endpoint, as its established requests may still be reached there.
@@ -22,13 +32,7 @@
     bool is_active(const ServerId& id) const;
 
    private:
-    friend struct HandoverAccess;
-
-    struct Entry {
-        std::optional<Address> address;
-        EndpointState state = EndpointState::active;
-    };
-    std::unordered_map<ServerId, Entry> entries_;
+    State entries_;
 };
 
 }  // namespace headrouter
--- a/src/downstream/downstream.cpp
+++ b/src/downstream/downstream.cpp
@@ -48,6 +48,45 @@
     clients_.clear();
 }
 
+// ---- hot restart ----
+
+Downstream::State Downstream::state() const {
+    State state;
+    state.last_id = last_id_;
+    for (const auto& [id, client] : clients_)
+        state.clients[id] = {client.stage, client.idle_since, client.has_probed, client.connection->state()};
+    state.idle_clients = idle_clients_.ids();
+    return state;
+}
+
+std::vector<int> Downstream::descriptors() const {
+    std::map<RequestId, int> by_id;
+    for (const auto& [id, client] : clients_) by_id[id] = client.connection->descriptor();
+    std::vector<int> descriptors;
+    for (const auto& [id, descriptor] : by_id) descriptors.push_back(descriptor);
+    return descriptors;
+}
+
+void Downstream::restore(State state, std::span<FileDescriptor> descriptors) {
+    last_id_ = state.last_id;
+    auto descriptor = descriptors.begin();
+    for (auto& [id, transferred] : state.clients) {
+        Client& client = clients_[id];
+        client.stage = transferred.stage;
+        client.idle_since = transferred.idle_since;
+        client.has_probed = transferred.has_probed;
+        client.connection = make_connection(std::move(*descriptor++), id);
+        client.connection->restore(std::move(transferred.connection));
+    }
+    for (const RequestId id : state.idle_clients) {
+        Client& client = clients_.at(id);
+        // The form has no place for these two; for a client that has not probed they are exact.
+        client.connected_at = client.idle_since;
+        client.line_started_at = client.idle_since;
+        idle_clients_.add(client);
+    }
+}
+
 // ---- admission ----
 
 void Downstream::set_descriptor_limit(int max_descriptors) {
--- a/src/downstream/downstream.h
+++ b/src/downstream/downstream.h
@@ -2,11 +2,14 @@
 #pragma once
 #include <ev.h>
 
+#include <map>
 #include <memory>
+#include <span>
 #include <string>
 #include <string_view>
 #include <unordered_map>
 #include <utility>
+#include <vector>
 
 #include "admin/counters.h"
 #include "downstream/client.h"
@@ -62,6 +65,27 @@
 
     size_t size() const { return clients_.size(); }
 
+    /// What the next process needs to go on with all clients, beside their descriptors.
+    struct State {
+        struct TransferredClient {
+            ClientStage stage = ClientStage::awaiting_request;
+            TimePoint idle_since;
+            bool has_probed = false;
+            LineConnection::State connection;
+        };
+
+        RequestId last_id = 0;
+        std::map<RequestId, TransferredClient> clients;
+        std::vector<RequestId> idle_clients;  ///< those that await their request, the oldest first
+    };
+    State state() const;
+
+    /// The descriptors of the clients, in the order of `State::clients`; still owned by these.
+    std::vector<int> descriptors() const;
+
+    /// Goes on with the clients of another process, before the first of its own. `descriptors` as above.
+    void restore(State state, std::span<FileDescriptor> descriptors);
+
     void forward(RequestId, std::string_view bytes) override;
     void start(RequestId) override;
     void reply(RequestId, std::string_view line) override;
@@ -71,7 +95,6 @@
     void poll_now(RequestId) override;
 
    private:
-    friend struct HandoverAccess;
     void on_accepted(FileDescriptor socket);
     std::unique_ptr<LineConnection> make_connection(FileDescriptor socket, RequestId);
     void add_client(FileDescriptor socket);
--- a/src/hot_restart/transfer_state.h
+++ b/src/hot_restart/transfer_state.h
@@ -1,9 +1,9 @@
 /// \file
-/// Everything that a running process knows, as bytes and descriptors, for the process that takes its place:
-/// every request, every connection in the middle of whatever it does, the policy's state and its timers.
+/// The transfer of a whole balancer to the process that takes its place: every request, every connection
+/// whatever its stage, the policy's state and its timers, as bytes and descriptors.
 ///
-/// Times in it are of the machine's steady clock, which both processes share. No I/O here: HotRestartParent
-/// and HotRestartChild carry it over. state_version.h names the form.
+/// Times are of the machine's steady clock, which both processes share. No I/O here: HotRestartParent and
+/// HotRestartChild carry the bytes over. balancer_state.h has their form, state_version.h its version.
 #pragma once
 #include <map>
 #include <string>
@@ -22,7 +22,7 @@
     Downstream& downstream;
     Upstream& upstream;
     std::multimap<TimePoint, uint64_t>& timers;  ///< the policy's timers: when each is due, and its token
-    int64_t& list_version;       ///< as discovery last reported it; negative where it reported none
+    int64_t& list_version;       ///< of the endpoint list, as discovery last reported it; negative for none
     std::string& list_source;    ///< HOST:PORT of the discovery whose version that is
     TimePoint& list_good_until;  ///< zero where it is not known
 };
@@ -38,9 +38,9 @@
 [[nodiscard]] TransferState pack(Components components, TimePoint now);
 
 /// Restores into `components`, which have served nothing yet, what pack() made of those of the other process.
-/// Throws ParseError where the bytes are cut, garbled, of another version or of another time, or descriptors
-/// are missing or left over; the components are then of no use, and descriptors that they took are closed
-/// without a word to the other side.
+/// Throws ParseError where the bytes are cut off, garbled, of another version or too old, or where there are
+/// more or fewer descriptors than connections. The components must not be used then; the descriptors are
+/// closed, the connections stay with the other process.
 void unpack(Components components, std::string_view bytes, std::vector<Fd> descriptors, TimePoint now);
 
 }  // namespace headrouter::hot_restart
--- a/src/router/active_requests.cpp
+++ b/src/router/active_requests.cpp
@@ -12,6 +12,12 @@
                                           retry_policy::ClientRetryBasis::execution_only);
 }
 
+void ActiveRequests::restore(State state) {
+    requests_ = std::move(state);
+    wire_ids_.clear();
+    for (const auto& [id, request] : requests_) wire_ids_.insert(request.request_line.wire_id);
+}
+
 ActiveRequest* ActiveRequests::find(RequestId id) {
     const auto it = requests_.find(id);
     return it == requests_.end() ? nullptr : &it->second;
--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -42,6 +42,11 @@
 /// Active requests by the balancer's id, and the ids by which servers know them.
 class ActiveRequests {
    public:
+    using State = std::unordered_map<RequestId, ActiveRequest>;
+
+    const State& state() const { return requests_; }
+    void restore(State state);
+
     /// Null where there is no such request. Valid until the request is removed.
     ActiveRequest* find(RequestId);
 
@@ -74,8 +79,7 @@
     }
 
    private:
-    friend struct HandoverAccess;
-    std::unordered_map<RequestId, ActiveRequest> requests_;
+    State requests_;
     std::unordered_set<std::string> wire_ids_;
 };
 
--- a/src/router/request_adopter.h
+++ b/src/router/request_adopter.h
@@ -24,8 +24,11 @@
     static void schedule_retry(ActiveRequest&, TimePoint now);
     static bool is_retry_due(const ActiveRequest&, TimePoint now);
 
+    /// When the process started; after a hot restart the previous one.
+    TimePoint started_at() const { return started_at_; }
+    void set_started_at(TimePoint started_at) { started_at_ = started_at; }
+
    private:
-    friend struct HandoverAccess;
     const EndpointTable& endpoints_;
     UpstreamInterface& upstream_;
     TimePoint started_at_;
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -27,6 +27,25 @@
       drain_(parts(), shutdown_),
       policy_(config_.policy, seed, actions_, environment_.now()) {}
 
+RequestRouter::State RequestRouter::state() const {
+    return {config_,
+            endpoints_.state(),
+            active_requests_.state(),
+            adopter_.started_at(),
+            recent_reconnects_.state(),
+            policy_.state()};
+}
+
+void RequestRouter::restore(State state) {
+    config_ = std::move(state.config);
+    endpoints_.restore(std::move(state.endpoints));
+    active_requests_.restore(std::move(state.active_requests));
+    adopter_.set_started_at(state.started_at);
+    recent_reconnects_.restore(state.recent_reconnects);
+    policy_.restore(state.policy);
+    setup_counters_.grow_to(config_.request_class_names.size());
+}
+
 RouterParts RequestRouter::parts() {
     return {config_,          environment_, downstream_, upstream_, endpoints_,
             active_requests_, adopter_,     completion_, policy_,   actions_,
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -94,9 +94,22 @@
     Duration wall_clock_offset() const { return policy_.config().wall_clock_offset; }
     admin::MetricsSnapshot metrics() const;
 
-   private:
-    friend struct HandoverAccess;
+    /// What the next process needs to go on with all requests.
+    struct State {
+        ClusterConfig config;
+        EndpointTable::State endpoints;
+        ActiveRequests::State active_requests;
+        TimePoint started_at;
+        SlidingWindow<5>::State recent_reconnects;
+        std::string policy;  ///< the bytes of the policy's state
+    };
+    State state() const;
+
+    /// Goes on with the requests of another process, before the first of its own. Throws ParseError where the
+    /// policy's state cannot be read.
+    void restore(State state);
 
+   private:
     RouterParts parts();
 
     void perform(const StartAttemptAction& action) override { attempts_.start(action); }
--- a/src/transport/line_connection.cpp
+++ b/src/transport/line_connection.cpp
@@ -33,6 +33,20 @@
 
 LineConnection::~LineConnection() { total_buffered_bytes_ -= counted_bytes_; }
 
+LineConnection::State LineConnection::state() const {
+    return {input_, output_.substr(output_sent_), is_connecting_, is_paused_};
+}
+
+void LineConnection::restore(State state) {
+    input_ = std::move(state.partial_line);
+    output_ = std::move(state.unsent_bytes);
+    output_sent_ = 0;
+    is_connecting_ = state.is_connecting;
+    is_paused_ = state.is_paused;
+    update_buffered_total();
+    update_watcher();
+}
+
 void LineConnection::start() { update_watcher(); }
 
 void LineConnection::start_connecting() {
--- a/src/transport/line_connection.h
+++ b/src/transport/line_connection.h
@@ -84,7 +84,22 @@
     /// Closes this process's descriptor without a word to the peer: another process has the connection now.
     void detach();
 
+    /// What another process needs beside the descriptor to go on with the connection.
+    struct State {
+        std::string partial_line;
+        std::string unsent_bytes;
+        bool is_connecting = false;
+        bool is_paused = false;
+    };
+    State state() const;
+
+    /// Goes on with a connection of another process, on its descriptor. In place of `start`.
+    void restore(State state);
+
     uint64_t id() const { return id_; }
+
+    /// The descriptor, still owned by the connection.
+    int descriptor() const { return socket_.get(); }
     bool is_closed() const { return !socket_; }
     size_t unsent_bytes() const { return output_.size() - output_sent_; }
 
@@ -102,7 +117,6 @@
     static size_t total_buffered_bytes() { return total_buffered_bytes_.load(std::memory_order_relaxed); }
 
    private:
-    friend struct HandoverAccess;
     void on_event(int events);
     void on_connect_event();
     void read_input();
--- a/src/upstream/address_health.h
+++ b/src/upstream/address_health.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <string>
 #include <unordered_map>
+#include <utility>
 
 #include "base/time.h"
 
@@ -21,6 +22,12 @@
 /// nothing at all coming from the address, tell of the whole server sooner: a busy one still answers some.
 class AddressHealthTable {
    public:
+    /// By the bytes of the socket address.
+    using State = std::unordered_map<std::string, AddressHealth>;
+
+    const State& state() const { return addresses_; }
+    void restore(State state) { addresses_ = std::move(state); }
+
     void add_attempt(const std::string& address) { ++addresses_[address].attempts; }
     void remove_attempt(const std::string& address);
     void on_received(const std::string& address, TimePoint now);
@@ -34,8 +41,7 @@
     bool is_silent(const std::string& address, TimePoint now) const;
 
    private:
-    friend struct HandoverAccess;
-    std::unordered_map<std::string, AddressHealth> addresses_;
+    State addresses_;
 };
 
 }  // namespace headrouter
--- a/src/upstream/report_classifier.cpp
+++ b/src/upstream/report_classifier.cpp
@@ -52,17 +52,17 @@
         if (at < *latest) return *latest - at <= shared_tolerance;
         return is_in_phase(at, *latest, shared_tolerance, phase_lifetime);
     };
-    return std::any_of(latest_by_phase_.begin(), latest_by_phase_.end(), matches);
+    return std::any_of(state_.latest_by_phase.begin(), state_.latest_by_phase.end(), matches);
 }
 
 ReportKind ReportClassifier::as_latency(TimePoint at, ReportHistory& history, double value) {
     const auto has_phase = [&](const std::optional<TimePoint>& latest) {
         return latest && is_in_phase(at, *latest, shared_tolerance, phase_lifetime);
     };
-    auto* phase = std::find_if(latest_by_phase_.begin(), latest_by_phase_.end(), has_phase);
-    if (phase == latest_by_phase_.end())
-        phase =
-            std::min_element(latest_by_phase_.begin(), latest_by_phase_.end());  // unused, else the oldest
+    auto* phase = std::find_if(state_.latest_by_phase.begin(), state_.latest_by_phase.end(), has_phase);
+    if (phase == state_.latest_by_phase.end())
+        phase = std::min_element(state_.latest_by_phase.begin(),
+                                 state_.latest_by_phase.end());  // unused, else the oldest
     *phase = at;
     history.undecided_at.reset();
     history.last_latency_at.reset();
@@ -77,7 +77,7 @@
         history.undecided_at && now - *history.undecided_at > min_distance &&
         is_in_phase(now, *history.undecided_at, own_tolerance, report_period + own_tolerance);
     if (follows_undecided) return true;
-    const bool has_company = last_undecided_at_ && now - *last_undecided_at_ <= shared_tolerance;
+    const bool has_company = state_.last_undecided_at && now - *state_.last_undecided_at <= shared_tolerance;
     return has_company || is_at_known_phase(now) || value < *history.last_load * min_part_of_load;
 }
 
@@ -87,7 +87,7 @@
     if (continues_latency_reports(now, history, value)) return as_latency(now, history, value);
     if (value < min_latency_ms_ || value > max_first_latency_ms) return as_load(history, value);
     if (begins_latency_reports(now, history, value)) return as_latency(now, history, value);
-    last_undecided_at_ = now;
+    state_.last_undecided_at = now;
     history.undecided_at = now;
     history.undecided_value = value;
     return ReportKind::undecided;
--- a/src/upstream/report_classifier.h
+++ b/src/upstream/report_classifier.h
@@ -27,6 +27,17 @@
 /// Shared by all connections: servers send their latency reports at the same phase of each second.
 class ReportClassifier {
    public:
+    /// Phases of a second at which latency reports are expected.
+    static constexpr size_t phase_count = 8;
+
+    struct State {
+        std::array<std::optional<TimePoint>, phase_count> latest_by_phase{};  ///< latency reports
+        std::optional<TimePoint> last_undecided_at;
+    };
+
+    const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// Latencies are reported from `min_latency_ms` on; zero where none are.
     explicit ReportClassifier(double min_latency_ms) : min_latency_ms_(min_latency_ms) {}
     void set_min_latency(double min_latency_ms) { min_latency_ms_ = min_latency_ms; }
@@ -39,17 +50,12 @@
     [[nodiscard]] ReportKind resolve_undecided(TimePoint now, ReportHistory& history);
 
    private:
-    friend struct HandoverAccess;
-
-    static constexpr size_t phase_count = 8;
-
     ReportKind as_latency(TimePoint at, ReportHistory& history, double value);
     bool begins_latency_reports(TimePoint now, const ReportHistory& history, double value) const;
     bool is_at_known_phase(TimePoint at) const;
 
     double min_latency_ms_;
-    std::array<std::optional<TimePoint>, phase_count> latest_by_phase_{};  // latency reports, by their phase
-    std::optional<TimePoint> last_undecided_at_;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -38,11 +38,51 @@
     return std::make_unique<Attempt>(loop_, *this, id);
 }
 
+std::unique_ptr<LineConnection> Upstream::make_connection(FileDescriptor socket, RequestId id) {
+    LineConnection::Owner& owner = *this;
+    return std::make_unique<LineConnection>(loop_, std::move(socket), owner, id);
+}
+
 void Upstream::set_timer(Attempt& attempt, Duration delay) {
     attempt.timer_due = Clock::now() + delay;
     attempt.timer.start_once(delay);
 }
 
+Upstream::State Upstream::state() const {
+    State state;
+    state.classifier = classifier_.state();
+    state.last_check = last_check_;
+    state.addresses = addresses_.state();
+    for (const auto& [id, attempt] : attempts_)
+        state.attempts[id] = {static_cast<const AttemptState&>(*attempt), attempt->connection->state()};
+    return state;
+}
+
+std::vector<int> Upstream::descriptors() const {
+    std::map<RequestId, int> by_id;
+    for (const auto& [id, attempt] : attempts_) by_id[id] = attempt->connection->descriptor();
+    std::vector<int> descriptors;
+    for (const auto& [id, descriptor] : by_id) descriptors.push_back(descriptor);
+    return descriptors;
+}
+
+void Upstream::restore(State state, std::span<FileDescriptor> descriptors) {
+    classifier_.restore(state.classifier);
+    last_check_ = state.last_check;
+    addresses_.restore(std::move(state.addresses));
+    auto descriptor = descriptors.begin();
+    for (auto& [id, transferred] : state.attempts) {
+        std::unique_ptr<Attempt>& attempt = attempts_[id];
+        attempt = make_attempt(id);
+        static_cast<AttemptState&>(*attempt) = std::move(transferred.attempt);
+        attempt->connection = make_connection(std::move(*descriptor++), id);
+        attempt->connection->restore(std::move(transferred.connection));
+        // The time at which the timer is due stays as it is, to the nanosecond.
+        if (attempt->stage != Stage::established)
+            attempt->timer.start_once(attempt->timer_due - Clock::now());
+    }
+}
+
 void Upstream::detach_all() {
     for (auto& [id, attempt] : attempts_) attempt->connection->detach();
     attempts_.clear();
@@ -74,8 +114,7 @@
         end_attempt(id, {outcome, CloseReason::reset, false, {}});
         return;
     }
-    LineConnection::Owner& owner = *this;
-    attempt.connection = std::make_unique<LineConnection>(loop_, std::move(fd), owner, id);
+    attempt.connection = make_connection(std::move(fd), id);
     attempt.connection->start_connecting();
     const bool has_connect_timeout = connect_timeout.ns > 0;
     set_timer(attempt, has_connect_timeout ? std::min(connect_timeout, response_timeout) : response_timeout);
--- a/src/upstream/upstream.h
+++ b/src/upstream/upstream.h
@@ -1,6 +1,8 @@
 /// The connections to servers: one for each attempt, from the connect to the last line.
 #pragma once
+#include <map>
 #include <memory>
+#include <span>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -43,29 +45,51 @@
 
     size_t size() const { return attempts_.size(); }
 
-   private:
-    friend struct HandoverAccess;
-
+    /// The hot restart hands these values on: a new one goes to the end.
     enum class Stage { connecting, sending, awaiting_response, established };
 
-    struct Attempt {
-        Attempt(struct ev_loop* loop, Upstream& owner, RequestId attempt_id)
-            : id(attempt_id), timer(loop, [&owner, attempt_id] { owner.on_timeout(attempt_id); }) {}
-
-        RequestId id;
-        TimerWatcher timer;
-        std::unique_ptr<LineConnection> connection;
+    /// What is kept of an attempt beside its connection.
+    struct AttemptState {
         std::string request_line;
-        std::string address;  // the bytes of the socket address
+        std::string address;  ///< the bytes of the socket address
         Stage stage = Stage::connecting;
         TimePoint response_deadline;
-        TimePoint timer_due;  // until it is established
-        TimePoint
-            unanswered_since;  // the oldest client line that brought nothing back; zero where there is none
+        TimePoint timer_due;         ///< until it is established
+        TimePoint unanswered_since;  ///< the oldest client line that brought nothing back; zero for none
         ReportHistory reports;
         bool has_said_bye = false;
         bool has_said_move = false;
         bool is_reading_paused = false;
+    };
+
+    /// What the next process needs to go on with all attempts, beside their descriptors.
+    struct State {
+        struct TransferredAttempt {
+            AttemptState attempt;
+            LineConnection::State connection;
+        };
+
+        ReportClassifier::State classifier;
+        TimePoint last_check;
+        AddressHealthTable::State addresses;  ///< has the address of each attempt
+        std::map<RequestId, TransferredAttempt> attempts;
+    };
+    State state() const;
+
+    /// The descriptors of the attempts, in the order of `State::attempts`; still owned by these.
+    std::vector<int> descriptors() const;
+
+    /// Goes on with the attempts of another process, before the first of its own. `descriptors` as above.
+    void restore(State state, std::span<FileDescriptor> descriptors);
+
+   private:
+    struct Attempt : AttemptState {
+        Attempt(struct ev_loop* loop, Upstream& owner, RequestId attempt_id)
+            : id(attempt_id), timer(loop, [&owner, attempt_id] { owner.on_timeout(attempt_id); }) {}
+
+        RequestId id;
+        TimerWatcher timer;
+        std::unique_ptr<LineConnection> connection;
 
         /// Whether the server cannot have seen the whole request line yet.
         bool is_unsent() const { return stage == Stage::connecting || stage == Stage::sending; }
@@ -87,6 +111,7 @@
     void publish_report(const ResolvedReport& report);
 
     std::unique_ptr<Attempt> make_attempt(RequestId id);
+    std::unique_ptr<LineConnection> make_connection(FileDescriptor socket, RequestId id);
     Attempt* find(RequestId id);
     static void set_timer(Attempt& attempt, Duration delay);
     void end_attempt(RequestId id, AttemptResult result);
--- a/tests/capture/test_segment.cpp
+++ b/tests/capture/test_segment.cpp
@@ -163,11 +163,11 @@
 
 // What an error says of an event that no build can have recorded.
 static std::string error_of(const RecordedEvent& event) {
-    Memory tape;
-    Story story(&tape);
-    story.list(some_servers(3));
+    MemoryRecorder recorder;
+    ScriptedDay day(&recorder);
+    day.update_endpoints(make_endpoints(3));
     ReplayedPolicy policy;
-    policy.restore(story.ear.state());
+    policy.restore(day.policy.state());
     try {
         policy.deliver(event);
     } catch (const ParseError& error) {
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -1,23 +1,16 @@
 // The form of the state that a process hands over at a hot restart, pinned for its version: a change of the
 // form that does not raise the version would let two builds misread each other's state.
 #include <gtest/gtest.h>
-#include <sys/socket.h>
 
 #include <cstring>
-#include <fstream>
-#include <iterator>
 #include <limits>
-#include <map>
-#include <sstream>
 #include <string>
 
 #include "capture/policy_visits.h"
-#include "downstream/downstream.h"
+#include "hot_restart/balancer_parts.h"
 #include "hot_restart/state_version.h"
 #include "hot_restart/transfer_state.h"
 #include "policy_helpers.h"
-#include "router/request_router.h"
-#include "upstream/upstream.h"
 
 namespace headrouter::capture {
 
@@ -80,12 +73,6 @@
     "number; the files of older versions stay. If it is not meant, restore the order and the types of the "
     "fields.";
 
-std::string read_whole(const std::string& path) {
-    std::ifstream in(path, std::ios::binary);
-    EXPECT_TRUE(in.good()) << path << " cannot be read";
-    return {std::istreambuf_iterator<char>(in), {}};
-}
-
 std::string pinned(const std::string& name, const std::string& extension) {
     return std::string(STATE_FOLDER) + "/" + name + "-" + std::to_string(hot_restart::state_version.number) +
            extension;
@@ -98,52 +85,6 @@
     return lines;
 }
 
-// The parts of a balancer that take over a state, without an event loop that turns.
-struct Parts {
-    explicit Parts(struct ev_loop* event_loop)
-        : loop(event_loop),
-          log(log_text, LogLevel::error),
-          closer(loop),
-          downstream(loop, closer, 400, counters, log),
-          upstream(loop, closer, counters, ReportClassifier(10)),
-          router(config(), 1, downstream, upstream,
-                 {&Clock::now, [](TimePoint, uint64_t) {}, [] { return std::optional<Counter>(); }}, counters,
-                 log) {}
-
-    static ClusterConfig config() {
-        ClusterConfig config;
-        config.policy = make_config();
-        config.request_class_names = {"any"};
-        return config;
-    }
-    hot_restart::Components all() {
-        return {router, downstream, upstream, timers, list_version, list_from, list_good_until};
-    }
-
-    struct ev_loop* loop;
-    std::ostringstream log_text;
-    Log log;
-    Counters counters;
-    LingeringCloser closer;
-    Downstream downstream;
-    Upstream upstream;
-    RequestRouter router;
-    std::multimap<TimePoint, uint64_t> timers;
-    int64_t list_version = 0;
-    std::string list_from;
-    TimePoint list_good_until;
-};
-
-// When a state was packed: behind the name of its version.
-TimePoint packed_at(const std::string& state) {
-    capture::ByteReader in(state, "the state");
-    std::string version;
-    TimePoint at;
-    capture::visit(in, version);
-    capture::visit(in, at);
-    return at;
-}
-
 }  // namespace
 
 // Builds of commit 73c782f and before name the form so: another text would cost an upgrade every connection.
@@ -167,10 +108,8 @@
     constexpr size_t connections = 11;
     struct ev_loop* loop = ev_loop_new(0);
     {
-        Parts parts(loop);
-        std::vector<Fd> descriptors;
-        for (size_t k = 0; k < connections; ++k)
-            descriptors.emplace_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+        BalancerParts parts(loop);
+        std::vector<Fd> descriptors = sockets(connections);
         const TimePoint then = packed_at(recorded);
         try {
             hot_restart::unpack(parts.all(), recorded, std::move(descriptors), then);
