--- a/src/capture/segment_reader.cpp
+++ b/src/capture/segment_reader.cpp
@@ -23,9 +23,9 @@
     return kind == BlockKind::state || kind == BlockKind::frames || kind == BlockKind::gap;
 }
 
-std::string too_long(const char* what, uint32_t bytes, uint32_t max_bytes) {
-    return std::string(what) + " is " + std::to_string(bytes) + " bytes long; expected " +
-           std::to_string(max_bytes) + " at most";
+std::string describe_length(const char* what, uint32_t length, uint32_t limit) {
+    return std::string(what) + " is " + std::to_string(length) + " bytes long; expected " +
+           std::to_string(limit) + " at most";
 }
 
 class SegmentReader {
@@ -92,7 +92,7 @@
         std::string_view size_bytes = std::string_view(bytes).substr(segment_prefix_bytes - sizeof(uint32_t));
         const auto size = take_number<uint32_t>(size_bytes);
         if (size > max_header_bytes)
-            return stop(SegmentEnd::damaged, too_long("the header", size, max_header_bytes));
+            return stop(SegmentEnd::damaged, describe_length("the header", size, max_header_bytes));
         const size_t rest = size + sizeof(Checksum);
         bytes.resize(segment_prefix_bytes + rest);
         if (source_(bytes.data() + segment_prefix_bytes, rest) < rest)
@@ -150,9 +150,9 @@
     bool check_block_lengths(const BlockPrefix& prefix) {
         if (prefix.compressed_bytes > max_compressed_bytes)
             return stop(SegmentEnd::damaged,
-                        too_long("a compressed block", prefix.compressed_bytes, max_compressed_bytes));
+                        describe_length("a compressed block", prefix.compressed_bytes, max_compressed_bytes));
         if (prefix.bytes > max_block_bytes)
-            return stop(SegmentEnd::damaged, too_long("a block", prefix.bytes, max_block_bytes));
+            return stop(SegmentEnd::damaged, describe_length("a block", prefix.bytes, max_block_bytes));
         return true;
     }
 
--- a/src/downstream/downstream.cpp
+++ b/src/downstream/downstream.cpp
@@ -67,16 +67,16 @@
     return descriptors;
 }
 
-void Downstream::restore(State state, std::span<FileDescriptor> descriptors) {
+void Downstream::restore(const State& state, std::span<FileDescriptor> descriptors) {
     last_id_ = state.last_id;
     auto descriptor = descriptors.begin();
-    for (auto& [id, transferred] : state.clients) {
+    for (const auto& [id, transferred] : state.clients) {
         Client& client = clients_[id];
         client.stage = transferred.stage;
         client.idle_since = transferred.idle_since;
         client.has_probed = transferred.has_probed;
         client.connection = make_connection(std::move(*descriptor++), id);
-        client.connection->restore(std::move(transferred.connection));
+        client.connection->restore(transferred.connection);
     }
     for (const RequestId id : state.idle_clients) {
         Client& client = clients_.at(id);
--- a/src/downstream/downstream.h
+++ b/src/downstream/downstream.h
@@ -84,7 +84,7 @@
     std::vector<int> descriptors() const;
 
     /// Goes on with the clients of another process, before the first of its own. `descriptors` as above.
-    void restore(State state, std::span<FileDescriptor> descriptors);
+    void restore(const State& state, std::span<FileDescriptor> descriptors);
 
     void forward(RequestId, std::string_view bytes) override;
     void start(RequestId) override;
--- a/src/gossip/gossip_rounds.h
+++ b/src/gossip/gossip_rounds.h
@@ -9,9 +9,7 @@
 #include "base/time.h"
 #include "gossip/load_tally.h"
 
-namespace headrouter {
-
-namespace gossip {
+namespace headrouter::gossip {
 
 /// Rounds are told apart by the wall clock that all balancers share.
 constexpr Duration round_time = seconds(5);
@@ -64,5 +62,4 @@
     State state_;
 };
 
-}  // namespace gossip
-}  // namespace headrouter
+}  // namespace headrouter::gossip
--- a/src/gossip/group_locations.h
+++ b/src/gossip/group_locations.h
@@ -8,9 +8,7 @@
 #include "base/server_index.h"
 #include "base/time.h"
 
-namespace headrouter {
-
-namespace gossip {
+namespace headrouter::gossip {
 
 /// A server that holds members of a group.
 struct GroupLocation {
@@ -55,5 +53,4 @@
     State groups_;
 };
 
-}  // namespace gossip
-}  // namespace headrouter
+}  // namespace headrouter::gossip
--- a/src/gossip/load_tally.h
+++ b/src/gossip/load_tally.h
@@ -7,9 +7,7 @@
 
 #include "base/server_index.h"
 
-namespace headrouter {
-
-namespace gossip {
+namespace headrouter::gossip {
 
 /// The load on a server, in mean load units.
 struct IndexedLoad {
@@ -63,5 +61,4 @@
     State state_;
 };
 
-}  // namespace gossip
-}  // namespace headrouter
+}  // namespace headrouter::gossip
--- a/src/hot_restart/transfer_state.cpp
+++ b/src/hot_restart/transfer_state.cpp
@@ -80,7 +80,7 @@
 void restore(Components& components, BalancerState state, std::span<FileDescriptor> descriptors) {
     const size_t clients = state.downstream.clients.size();
     components.router.restore(std::move(state.router));
-    components.downstream.restore(std::move(state.downstream), descriptors.first(clients));
+    components.downstream.restore(state.downstream, descriptors.first(clients));
     components.upstream.restore(std::move(state.upstream), descriptors.subspan(clients));
     components.timers = {state.timers.begin(), state.timers.end()};
     components.list_version = state.list_version;
--- a/src/slow_start/warmup_permits.h
+++ b/src/slow_start/warmup_permits.h
@@ -11,9 +11,7 @@
 
 #include "base/time.h"
 
-namespace headrouter {
-
-namespace slow_start {
+namespace headrouter::slow_start {
 
 /// What the permits are computed from; the same at every balancer but for `replica_index`.
 struct SlowStartConfig {
@@ -69,5 +67,4 @@
     State state_;
 };
 
-}  // namespace slow_start
-}  // namespace headrouter
+}  // namespace headrouter::slow_start
