--- a/src/hot_restart/state_version.h
+++ b/src/hot_restart/state_version.h
@@ -17,10 +17,11 @@
 
 /// The version that this build writes and reads.
 ///
-/// **Raise it by hand, number and name, in the commit that changes the form**: a field that is added, removed,
-/// moved or given another type in the lists of `capture/event_fields.h`, `capture/component_fields.h`,
-/// `capture/policy_visits.h` or `hot_restart/balancer_state.cpp`, or another meaning of a field that keeps its
-/// place. tests/hot_restart/test_state_form.cpp fails where that was forgotten.
+/// **Raise it by hand, number and name, in the commit that changes the form**: a field that is added,
+/// removed, moved or given another type in the lists of `capture/event_fields.h`,
+/// `capture/component_fields.h`, `capture/policy_visits.h` or `hot_restart/balancer_state.cpp`, or another
+/// meaning of a field that keeps its place. tests/hot_restart/test_state_form.cpp fails where that was
+/// forgotten.
 ///
 /// Version 1 is named by the very text that the builds sent which hashed their headers in place of a version
 /// (commit 73c782f), so that upgrades from and back to them keep every connection. From version 2 on the name
