--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -34,6 +34,9 @@
 
     bool may_have_run = false;                 ///< some attempt was written that the server did not turn away
     bool may_have_run_before_attempt = false;  ///< the same before the latest attempt
+
+    /// The policy hears of an adopted request only once that is established again.
+    bool is_known_to_policy() const { return is_established || !is_adopted; }
 };
 
 /// Whether the client of a request that the policy has not answered may ask again, see retry_policy.
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -70,7 +70,7 @@
 void RequestRouter::on_client_closed(RequestId id, CloseReason reason) {
     const ActiveRequest* request = active_requests_.find(id);
     if (!request) return counters_.add(Counter::late_events);
-    const bool policy_knows = request->is_established || !request->is_adopted;
+    const bool policy_knows = request->is_known_to_policy();
     const bool awaits_reply = !request->is_established;
     const std::string_view reply = may_client_retry(*request, config_.policy) ? busy_reply : error_reply;
     active_requests_.remove(id);
@@ -88,7 +88,7 @@
 void RequestRouter::on_early_client_data(RequestId id) {
     const ActiveRequest* request = active_requests_.find(id);
     if (!request || request->is_established) return counters_.add(Counter::late_events);
-    const bool policy_knows = !request->is_adopted;
+    const bool policy_knows = request->is_known_to_policy();
     counters_.add(Counter::malformed_client_lines);
     log_.debug("request_malformed", {{"request", id}, {"found", "bytes before the reply"}});
     upstream_.close(id, CloseReason::fin);
@@ -171,7 +171,7 @@
 void RequestRouter::detach_all() {
     const TimePoint now = environment_.now();
     const std::vector<RequestId> known_to_policy = active_requests_.sorted_ids_if(
-        [](const ActiveRequest& request) { return request.is_established || !request.is_adopted; });
+        [](const ActiveRequest& request) { return request.is_known_to_policy(); });
     active_requests_.clear();
     for (const RequestId id : known_to_policy) policy_.on_client_gone(now, id);
     actions_.clear();
--- a/src/router/request_watchdog.cpp
+++ b/src/router/request_watchdog.cpp
@@ -43,7 +43,7 @@
 
 void RequestWatchdog::fail_overdue(RequestId id, TimePoint now) {
     const ActiveRequest& request = *parts_.active_requests.find(id);
-    const bool policy_knows = !request.is_adopted;
+    const bool policy_knows = request.is_known_to_policy();
     const Duration late = now - request.request_line.request.deadline;
     parts_.counters.add(Counter::answers_overdue);
     parts_.log.warning("answer_overdue", {{"request", id}, {"late_ms", late.ns / ns_per_ms}});
--- a/src/router/shutdown_drain.cpp
+++ b/src/router/shutdown_drain.cpp
@@ -24,7 +24,7 @@
     parts_.upstream.close(id, CloseReason::fin);
     const ActiveRequest& request = *parts_.active_requests.find(id);
     const bool may_retry = may_client_retry(request, parts_.config.policy);
-    if (!request.is_adopted) parts_.policy.on_client_gone(now, id);
+    if (request.is_known_to_policy()) parts_.policy.on_client_gone(now, id);
     if (may_retry)
         parts_.completion.reject(id, busy_reply);
     else
