--- a/src/capture/edit.cpp
+++ b/src/capture/edit.cpp
@@ -5,6 +5,7 @@
 #include <array>
 #include <cerrno>
 #include <fstream>
+#include <functional>
 #include <optional>
 #include <stdexcept>
 #include <system_error>
@@ -12,37 +13,37 @@
 
 #include "base/parse_error.h"
 #include "capture/event_codec.h"
-#include "capture/policy_visits.h"
 
-namespace headrouter {
+namespace headrouter::capture {
 
-void StateAccess::hide_names(BalancingPolicy& b, const std::function<void(std::string&)>& hide) {
-    for (auto& [id, request] : b.requests_) {
-        hide(request.key);
-        hide(request.group);
+namespace {
+
+using NameReplacement = std::function<void(std::string&)>;
+
+template <class Table>
+Table with_replaced_keys(Table table, const NameReplacement& replace) {
+    Table replaced;
+    for (auto& [name, value] : table) {
+        std::string other = name;
+        replace(other);
+        replaced[other] = std::move(value);
     }
-    const auto hide_keys = [&](auto& table) {
-        std::decay_t<decltype(table)> hidden;
-        for (auto& [name, value] : table) {
-            std::string other = name;
-            hide(other);
-            hidden[other] = std::move(value);
-        }
-        table = std::move(hidden);
-    };
-    GroupTable::State groups = b.groups_.state();
-    hide_keys(groups.groups);
-    b.groups_.restore(std::move(groups));
-    b.rankings_.rankings_.clear();  // made anew from the new names
-    FailoverTable::State failovers = b.failovers_.state();
-    hide_keys(failovers.entries);
-    for (auto& [name, at] : failovers.by_age) hide(name);
-    b.failovers_.restore(std::move(failovers));
+    return replaced;
 }
 
-namespace capture {
-
-namespace {
+// Replaces the affinity keys and groups that the policy keeps.
+void replace_names(BalancingPolicy& policy, const NameReplacement& replace) {
+    BalancingPolicy::State state = policy.state();
+    for (auto& [id, request] : state.requests) {
+        replace(request.key);
+        replace(request.group);
+    }
+    state.groups.groups = with_replaced_keys(std::move(state.groups.groups), replace);
+    state.rankings.clear();  // drawn again, from the new names
+    state.failovers.entries = with_replaced_keys(std::move(state.failovers.entries), replace);
+    for (auto& [name, at] : state.failovers.by_age) replace(name);
+    policy.restore(std::move(state));
+}
 
 // Writes one segment to a file.
 class CaptureFile {
@@ -151,7 +152,7 @@
     observer.before_event = [&](ReplayedPolicy& replayed, const RecordedEvent& event) {
         if (!anonymous.is_restored()) {
             anonymous.restore(replayed.state());
-            StateAccess::hide_names(anonymous.policy(), [&](std::string& name) { hasher.replace(name); });
+            replace_names(anonymous.policy(), [&](std::string& name) { hasher.replace(name); });
             file.begin(event.at, anonymous.state());
         }
         RecordedEvent other = event;
@@ -166,5 +167,4 @@
     return result;
 }
 
-}  // namespace capture
-}  // namespace headrouter
+}  // namespace headrouter::capture
--- a/src/capture/explain.h
+++ b/src/capture/explain.h
@@ -1,5 +1,5 @@
 /// \file
-/// Why a decision fell as it did: what the policy knew of the fleet when it decided, in words.
+/// Why a request was decided on as it was: the events that concern it, and what the policy knew of the fleet.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,10 +8,6 @@
 
 namespace headrouter::capture {
 
-/// A table, a row for each server as `request` would find it at `now`: load, share, load limit, whether it
-/// may take the request, and why not.
-[[nodiscard]] std::string describe_fleet(BalancingPolicy& policy, TimePoint now, const RequestState& request);
-
 /// What a capture tells of one request.
 struct Explanation {
     ReplayResult result;
--- a/src/capture/policy_state.cpp
+++ b/src/capture/policy_state.cpp
@@ -1,7 +1,9 @@
 #include "capture/policy_state.h"
 
+#include <utility>
+
 #include "base/parse_error.h"
-#include "capture/policy_visits.h"
+#include "capture/policy_form.h"
 
 namespace headrouter::capture {
 
@@ -34,15 +36,17 @@
 std::string state_of(const BalancingPolicy& policy) {
     std::string bytes;
     ByteWriter writer(bytes);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): a writer changes nothing.
-    StateAccess::visit_state(writer, const_cast<BalancingPolicy&>(policy));
+    BalancingPolicy::State state = policy.state();
+    visit(writer, state);
     return bytes;
 }
 
-void restore(BalancingPolicy& policy, std::string_view state) {
-    ByteReader reader(state, "the policy's state");
-    StateAccess::visit_state(reader, policy);
+void restore(BalancingPolicy& policy, std::string_view bytes) {
+    ByteReader reader(bytes, "the policy's state");
+    BalancingPolicy::State state = policy.state();
+    visit(reader, state);
     reader.check_end();
+    policy.restore(std::move(state));
 }
 
 void deliver(const RecordedEvent& event, BalancingPolicy& policy) {
--- a/src/capture/policy_state.h
+++ b/src/capture/policy_state.h
@@ -11,9 +11,9 @@
 /// The whole state of `policy`: a policy to which it is restored decides alike from then on.
 [[nodiscard]] std::string state_of(const BalancingPolicy& policy);
 
-/// Restores what state_of() made. Throws ParseError where the bytes are cut off or garbled; `policy` must not
-/// be used then.
-void restore(BalancingPolicy& policy, std::string_view state);
+/// Restores what state_of() made. Throws ParseError, with `policy` unchanged, where the bytes are cut off or
+/// garbled.
+void restore(BalancingPolicy& policy, std::string_view bytes);
 
 /// Delivers the event to `policy`. Throws ParseError, with `policy` unchanged, where the event cannot be this
 /// policy's: it names an unknown server or request class, or its configuration has fewer request classes.
--- a/src/hot_restart/state_version.h
+++ b/src/hot_restart/state_version.h
@@ -19,7 +19,7 @@
 ///
 /// **Raise it by hand, number and name, in the commit that changes the form**: a field that is added,
 /// removed, moved or given another type in the lists of `capture/event_fields.h`,
-/// `capture/component_fields.h`, `capture/policy_visits.h` or `hot_restart/balancer_state.cpp`, or another
+/// `capture/component_fields.h`, `capture/policy_form.h` or `hot_restart/balancer_state.cpp`, or another
 /// meaning of a field that keeps its place. tests/hot_restart/test_state_form.cpp fails where that was
 /// forgotten.
 ///
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -15,6 +15,46 @@
     if (config_.polls_endpoints) endpoints_.request(now);
 }
 
+BalancingPolicy::State BalancingPolicy::state() const {
+    State state;
+    state.config = config_;
+    state.random = random_.state();
+    state.requests = requests_;
+    state.message_objective = message_objective_;
+    state.retry_budget = retry_budget_.state();
+    state.early_resets = early_resets_.state();
+    state.servers = servers_.state();
+    state.loads = loads_.state();
+    state.warmup = warmup_.state();
+    state.degraded = degraded_.state();
+    state.failovers = failovers_.state();
+    state.groups = groups_.state();
+    state.rankings = rankings_.state();
+    state.endpoints = endpoints_.state();
+    state.gossip = gossip_.state();
+    state.queue = queue_.state();
+    return state;
+}
+
+void BalancingPolicy::restore(State state) {
+    config_ = std::move(state.config);
+    random_.restore(state.random);
+    requests_ = std::move(state.requests);
+    message_objective_ = state.message_objective;
+    retry_budget_.restore(state.retry_budget);
+    early_resets_.restore(state.early_resets);
+    servers_.restore(std::move(state.servers));
+    loads_.restore(std::move(state.loads));
+    warmup_.restore(state.warmup);
+    degraded_.restore(std::move(state.degraded));
+    failovers_.restore(std::move(state.failovers));
+    groups_.restore(std::move(state.groups));
+    rankings_.restore(std::move(state.rankings));
+    endpoints_.restore(state.endpoints);
+    gossip_.restore(std::move(state.gossip));
+    queue_.restore(std::move(state.queue));
+}
+
 void BalancingPolicy::reconfigure(PolicyConfig config) {
     config.replica_index = config_.replica_index;  // what was drawn from it stays
     config_ = std::move(config);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -43,6 +43,40 @@
 /// it. Not thread-safe: one event at a time.
 class BalancingPolicy {
    public:
+    /// All that the policy keeps from one event to the next.
+    struct State {
+        PolicyConfig config;
+        Pcg32::State random;
+        RequestTable requests;
+        Duration message_objective;  ///< the shortest of any request class
+        RetryBudget::State retry_budget;
+        EarlyResetRate::State early_resets;
+        ServerTable::State servers;
+        ServerLoads::State loads;
+        WarmupAdmission::State warmup;
+        DegradedServers::State degraded;
+        FailoverTable::State failovers;
+        GroupTable::State groups;
+        RendezvousRankings::State rankings;
+        EndpointTracker::State endpoints;
+        GossipCoordinator::State gossip;
+        RequestQueue::State queue;
+    };
+
+    /// Parts of the policy, for explanations and tests. A balancer uses events only.
+    struct Parts {
+        RequestTable& requests;
+        ServerTable& servers;
+        const ServerLoads& loads;
+        const WarmupAdmission& warmup;
+        ServerHealth& health;
+        FairShares& shares;
+        FailoverTable& failovers;
+        const GossipCoordinator& gossip;
+        const Placement& placement;
+        RebalanceCycle& rebalance;
+    };
+
     /// `actions` must outlive the policy; its first timers are set from here.
     BalancingPolicy(PolicyConfig, uint64_t seed, PolicyActions& actions, TimePoint now);
     BalancingPolicy(const BalancingPolicy&) = delete;
@@ -78,14 +112,21 @@
         return gossip_.on_message(now, replica, bytes);
     }
 
+    [[nodiscard]] State state() const;
+    /// A policy decides as the one whose state it has. Timers are not part of it.
+    void restore(State);
+
+    Parts parts() {
+        return {requests_, servers_,   loads_,  warmup_,    health_,
+                shares_,   failovers_, gossip_, placement_, rebalance_};
+    }
+
     const PolicyConfig& config() const { return config_; }
     bool has_server(const ServerId& id) const { return servers_.find(id).has_value(); }
     /// Listed servers that would get no new connection now.
     int count_unselectable(TimePoint now) const { return eligibility::count_unselectable(now, servers_); }
 
    private:
-    friend struct PolicyInspector;  // the tests build states directly
-    friend struct StateAccess;      // a capture keeps the whole state, and restores it
     /// The surplus of a slow server is migrated off within this time.
     static constexpr Duration slow_server_drain = seconds(0.8);
 
--- a/src/policy/endpoint_tracker.cpp
+++ b/src/policy/endpoint_tracker.cpp
@@ -15,30 +15,31 @@
 }  // namespace
 
 void EndpointTracker::request(TimePoint now) {
-    is_asked_ = true;
-    asked_at_ = now;
+    state_.is_asked = true;
+    state_.asked_at = now;
     actions_.watch_endpoints();
 }
 
 void EndpointTracker::on_retry_timer(TimePoint now) {
-    if (!is_watching_ && !is_asked_) request(now);
+    if (!state_.is_watching && !state_.is_asked) request(now);
 }
 
 void EndpointTracker::on_update(EndpointUpdateKind kind) {
     if (kind == EndpointUpdateKind::cached) return;
-    is_asked_ = false;
-    is_watching_ = true;
-    retry_pause_ = first_retry_pause;
+    state_.is_asked = false;
+    state_.is_watching = true;
+    state_.retry_pause = first_retry_pause;
 }
 
 void EndpointTracker::on_error(TimePoint now) {
-    is_asked_ = false;
-    is_watching_ = false;
+    state_.is_asked = false;
+    state_.is_watching = false;
     if (config_.polls_endpoints) {
-        const Duration pause = retry_pause_ * (least_pause_part + random_pause_part * random_.uniform());
+        const Duration pause =
+            state_.retry_pause * (least_pause_part + random_pause_part * random_.uniform());
         actions_.set_timer(now + pause, timer_token(TimerKind::retry_watch));
     }
-    retry_pause_ = std::min(retry_pause_ * 2, longest_retry_pause);
+    state_.retry_pause = std::min(state_.retry_pause * 2, longest_retry_pause);
 }
 
 }  // namespace headrouter
--- a/src/policy/endpoint_tracker.h
+++ b/src/policy/endpoint_tracker.h
@@ -6,11 +6,21 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Asks for the endpoint list and, after a failure, asks again: with jitter, and after pauses that double.
 class EndpointTracker {
    public:
+    static constexpr Duration first_retry_pause = millis(300);
+
+    struct State {
+        bool is_asked = false;     ///< and not answered yet
+        bool is_watching = false;  ///< the last answer was a list
+        TimePoint asked_at;
+        Duration retry_pause = first_retry_pause;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// All must outlive it.
     EndpointTracker(const PolicyConfig& config, PolicyActions& actions, Pcg32& random)
         : config_(config), actions_(actions), random_(random) {}
@@ -25,18 +35,13 @@
     void on_error(TimePoint now);
 
    private:
-    friend struct StateAccess;
-    static constexpr Duration first_retry_pause = millis(300);
     // Far below the time after which a draining server counts on being known as such everywhere.
     static constexpr Duration longest_retry_pause = seconds(2);
 
     const PolicyConfig& config_;
     PolicyActions& actions_;
     Pcg32& random_;
-    bool is_asked_ = false;     // and not answered yet
-    bool is_watching_ = false;  // the last answer was a list
-    TimePoint asked_at_;
-    Duration retry_pause_ = first_retry_pause;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/gossip_coordinator.cpp
+++ b/src/policy/gossip_coordinator.cpp
@@ -1,5 +1,7 @@
 #include "policy/gossip_coordinator.h"
 
+#include <utility>
+
 namespace headrouter {
 
 GossipCoordinator::GossipCoordinator(const Parts& parts)
@@ -8,6 +10,13 @@
       headroom_({parts.config, parts.servers, parts.loads, short_ids_, parts.actions}),
       locations_({parts.config, parts.servers, short_ids_, parts.rankings, parts.actions, parts.random}) {}
 
+void GossipCoordinator::restore(State state) {
+    short_ids_ = std::move(state.short_ids);
+    rounds_.restore(std::move(state.rounds));
+    headroom_.restore(std::move(state.headroom));
+    locations_.restore(std::move(state.locations));
+}
+
 void GossipCoordinator::configure() {
     headroom_.configure();
     rounds_.configure();
--- a/src/policy/gossip_coordinator.h
+++ b/src/policy/gossip_coordinator.h
@@ -16,13 +16,23 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Three kinds of messages, each with a part and a pace of its own: the load of all balancers by rounds of
 /// the wall clock (RoundExchange), each server's headroom over all balancers (HeadroomPublisher), and the
 /// locations of groups (LocationPublisher).
 class GossipCoordinator {
    public:
+    struct State {
+        gossip::ShortServerIds short_ids;
+        RoundExchange::State rounds;
+        HeadroomPublisher::State headroom;
+        LocationPublisher::State locations;
+    };
+
+    [[nodiscard]] State state() const {
+        return {short_ids_, rounds_.state(), headroom_.state(), locations_.state()};
+    }
+    void restore(State state);
+
     /// All must outlive it.
     struct Parts {
         const PolicyConfig& config;
@@ -75,8 +85,6 @@
     const LocationPublisher& group_locations() const { return locations_; }
 
    private:
-    friend struct StateAccess;
-
     const PolicyConfig& config_;
     gossip::ShortServerIds short_ids_;
     RoundExchange rounds_;
--- a/src/policy/headroom_publisher.cpp
+++ b/src/policy/headroom_publisher.cpp
@@ -9,14 +9,15 @@
 namespace headrouter {
 
 void HeadroomPublisher::configure() {
-    aggregator_.set_replica(static_cast<int>(config_.replica_index), config_.replica_count);
+    state_.aggregator.set_replica(static_cast<int>(config_.replica_index), config_.replica_count);
     const bool is_enabled = config_.gossip_enabled && config_.aggregates_fleet_load;
-    if (is_enabled && !has_timer_) actions_.set_timer(TimePoint{}, timer_token(TimerKind::publish_headroom));
-    has_timer_ = is_enabled;
+    if (is_enabled && !state_.has_timer)
+        actions_.set_timer(TimePoint{}, timer_token(TimerKind::publish_headroom));
+    state_.has_timer = is_enabled;
 }
 
 void HeadroomPublisher::publish(TimePoint now) {
-    if (!has_timer_) return;
+    if (!state_.has_timer) return;
     actions_.set_timer(now + fleet_load::FleetLoadAggregator::tick_interval,
                        timer_token(TimerKind::publish_headroom));
     std::vector<gossip::IndexedLoad> own;
@@ -33,12 +34,12 @@
         else if (!server.connections.empty())
             own.push_back({index, loads_.load_on(server)});
     }
-    for (const auto& message : aggregator_.tick(now, now + config_.wall_clock_offset, own, eligible))
+    for (const auto& message : state_.aggregator.tick(now, now + config_.wall_clock_offset, own, eligible))
         actions_.send_gossip(message.replica_index, message.bytes);
 }
 
 void HeadroomPublisher::on_message(TimePoint now, int replica, const gossip::Message& message) {
-    if (config_.aggregates_fleet_load) aggregator_.on_message(now, replica, message);
+    if (config_.aggregates_fleet_load) state_.aggregator.on_message(now, replica, message);
 }
 
 bool HeadroomPublisher::is_troubled(TimePoint now, const ServerState& server) const {
--- a/src/policy/headroom_publisher.h
+++ b/src/policy/headroom_publisher.h
@@ -1,6 +1,7 @@
 /// Each server's headroom over all balancers, told from balancer to balancer.
 #pragma once
 #include <optional>
+#include <utility>
 
 #include "fleet_load/fleet_load_aggregator.h"
 #include "gossip/gossip_message.h"
@@ -10,11 +11,17 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Feeds the aggregator of fleet loads with this balancer's loads and sends its messages.
 class HeadroomPublisher {
    public:
+    struct State {
+        fleet_load::FleetLoadAggregator aggregator;
+        bool has_timer = false;  ///< the timer of the next tick is set
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// All must outlive it.
     struct Parts {
         const PolicyConfig& config;
@@ -38,10 +45,11 @@
     void on_message(TimePoint now, int replica, const gossip::Message&);
     /// The server that the next connection should go to by its headroom, if any. `random` lies between 0
     /// and 1.
-    std::optional<ServerIndex> pick(TimePoint now, double random) { return aggregator_.pick(now, random); }
+    std::optional<ServerIndex> pick(TimePoint now, double random) {
+        return state_.aggregator.pick(now, random);
+    }
 
    private:
-    friend struct StateAccess;
     /// Whether the server was met failing, or slow at the load that this balancer has there.
     bool is_troubled(TimePoint now, const ServerState&) const;
 
@@ -50,8 +58,7 @@
     const ServerLoads& loads_;
     const gossip::ShortServerIds& short_ids_;
     PolicyActions& actions_;
-    fleet_load::FleetLoadAggregator aggregator_;
-    bool has_timer_ = false;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/load_limit.cpp
+++ b/src/policy/load_limit.cpp
@@ -9,9 +9,9 @@
                                                 const Usage& usage, Pcg32& random) {
     const double demanded = demand(now, latency_seconds);
     const bool is_slow = latency_seconds >= to_seconds(objective) * slow_part_of_objective;
-    is_mild_ = !is_slow && latency_seconds <= latency_ * steady_growth;
-    reported_at_ = now;
-    latency_ = latency_seconds;
+    state_.is_mild = !is_slow && latency_seconds <= state_.latency * steady_growth;
+    state_.reported_at = now;
+    state_.latency = latency_seconds;
     if (!is_slow) {
         lower_to(now, usage.load, usage.full_share);
         return {};
@@ -21,18 +21,18 @@
     const double migrations = std::floor(connections * surplus_part + random.uniform());
     const double limit = usage.load - usage.load * migrations / connections;
     // Where the server has many of this balancer's connections, rounding hardly matters.
-    rounding_ = random.uniform() / std::max(1.0, std::pow(usage.full_share, 2));
+    state_.rounding = random.uniform() / std::max(1.0, std::pow(usage.full_share, 2));
     lower_to(now, limit, usage.full_share);
     return {usage.load - limit, static_cast<int>(migrations)};
 }
 
 double LoadLimit::demand(TimePoint now, double latency_seconds) const {
-    const Duration gap = now - reported_at_;
-    const bool is_comparable = reported_at_.ns > 0 && gap < longest_gap;
+    const Duration gap = now - state_.reported_at;
+    const bool is_comparable = state_.reported_at.ns > 0 && gap < longest_gap;
     // Without a recent report, all of the latency counts as grown in one second.
-    const double latency_growth = is_comparable
-                                      ? (latency_seconds - latency_) / to_seconds(std::max(gap, shortest_gap))
-                                      : latency_seconds;
+    const double latency_growth =
+        is_comparable ? (latency_seconds - state_.latency) / to_seconds(std::max(gap, shortest_gap))
+                      : latency_seconds;
     return std::clamp(1 + latency_growth, least_demand, most_demand);
 }
 
@@ -42,22 +42,22 @@
 
 void LoadLimit::on_reset(TimePoint now, double load, double full_share) {
     lower_to(now, load, full_share);
-    is_mild_ = false;
+    state_.is_mild = false;
 }
 
 void LoadLimit::lower_to(TimePoint now, double load, double full_share) {
-    limit_ = std::min(at(now, full_share).value_or(load), load);
-    limited_at_ = now;
+    state_.limit = std::min(at(now, full_share).value_or(load), load);
+    state_.limited_at = now;
 }
 
 std::optional<double> LoadLimit::at(TimePoint now, double full_share) const {
     if (!is_set()) return std::nullopt;
-    const Duration age = now - limited_at_;
+    const Duration age = now - state_.limited_at;
     if (age > limit_lifetime) return std::nullopt;
     // A sound server keeps room for its part of what other servers lose. A limit from the time when it was
     // slow would leave all of that to the few servers without one.
-    const double least = is_mild_ ? full_share * mild_part_of_share : 0;
-    return std::max(least, *limit_ + to_seconds(age) * growth_per_second * full_share);
+    const double least = state_.is_mild ? full_share * mild_part_of_share : 0;
+    return std::max(least, *state_.limit + to_seconds(age) * growth_per_second * full_share);
 }
 
 }  // namespace headrouter
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -8,8 +8,6 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Finds one server's load limit from the latency that it reports and from the connections that it drops, and
 /// lets the limit rise again over time.
 ///
@@ -20,6 +18,18 @@
 /// Loads are in mean load units, of this balancer's connections alone.
 class LoadLimit {
    public:
+    struct State {
+        TimePoint reported_at;  ///< the latest latency report
+        double latency = 0;     ///< in seconds, as last reported
+        bool is_mild = false;
+        std::optional<double> limit;  ///< as of `limited_at`
+        TimePoint limited_at;
+        double rounding = 0;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// What this balancer has on the server as a latency report arrives.
     struct Usage {
         double load;
@@ -41,24 +51,21 @@
     /// reports from it, and would send them there again.
     void on_reset(TimePoint now, double load, double full_share);
     /// Another process has taken the server's place.
-    void lift() { limit_.reset(); }
+    void lift() { state_.limit.reset(); }
 
     /// The limit now, if there is one.
     std::optional<double> at(TimePoint now, double full_share) const;
     /// False where at() has none whatever the server's full share, which need not be summed up then. Sums of
     /// loads that came and went can end just below zero: such a limit is none.
-    bool is_set() const { return limit_ && *limit_ >= 0; }
+    bool is_set() const { return state_.limit && *state_.limit >= 0; }
     /// A random part of a connection, added to the limit. Many balancers have one connection or none on a
     /// server; rounded by chance, their whole connections add up to what the server can do, while all rounded
     /// down would leave it empty.
-    double rounding() const { return rounding_; }
+    double rounding() const { return state_.rounding; }
     /// Whether the last latency was short and no longer than the one before: load has no part in it.
-    bool is_mild() const { return is_mild_; }
+    bool is_mild() const { return state_.is_mild; }
 
    private:
-    friend struct StateAccess;
-    friend struct PolicyInspector;
-
     /// A server is slow from this part of the message objective on.
     static constexpr double slow_part_of_objective = 0.8;
     /// The part of a server's capacity that is to be used while it has no backlog.
@@ -90,12 +97,7 @@
     /// Sets the limit to `load`, unless it is lower already.
     void lower_to(TimePoint now, double load, double full_share);
 
-    TimePoint reported_at_;
-    double latency_ = 0;  // in seconds, as last reported
-    bool is_mild_ = false;
-    std::optional<double> limit_;  // as of limited_at_
-    TimePoint limited_at_;
-    double rounding_ = 0;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/location_publisher.cpp
+++ b/src/policy/location_publisher.cpp
@@ -29,18 +29,20 @@
 
 }  // namespace
 
-void LocationPublisher::earn_credit() { credit_ = std::min(credit_ + credit_per_request, most_credit); }
+void LocationPublisher::earn_credit() {
+    state_.credit = std::min(state_.credit + credit_per_request, most_credit);
+}
 
 void LocationPublisher::on_group_placed(TimePoint now, const std::string& group, ServerIndex server) {
     if (!config_.gossip_enabled || group.empty()) return;
-    gossip::GroupLocation& location = locations_.find_or_add(short_hash(group), server);
+    gossip::GroupLocation& location = state_.locations.find_or_add(short_hash(group), server);
     if (location.announcement_pending || now - location.announced_at < republished_after) return;
     location.announced_at = now;
     if (is_first_choice(now, group, server)) return;
     location.announcement_pending = true;
-    unpublished_.push_back({short_hash(group), server});
-    if (has_timer_) return;
-    has_timer_ = true;
+    state_.unpublished.push_back({short_hash(group), server});
+    if (state_.has_timer) return;
+    state_.has_timer = true;
     actions_.set_timer(now + published_within * random_.uniform(), timer_token(TimerKind::publish_locations));
 }
 
@@ -53,11 +55,11 @@
 }
 
 void LocationPublisher::publish() {
-    has_timer_ = false;
+    state_.has_timer = false;
     const double cost = bytes_per_location * (config_.replica_count - 1);
-    const std::vector<gossip::GroupPlacement> waiting = std::exchange(unpublished_, {});
+    const std::vector<gossip::GroupPlacement> waiting = std::exchange(state_.unpublished, {});
     std::vector<gossip::GroupLocationRow> rows;
-    for (const auto& [group, server] : locations_.take_affordable(waiting, credit_, cost)) {
+    for (const auto& [group, server] : state_.locations.take_affordable(waiting, state_.credit, cost)) {
         const ServerId& id = servers_[server].endpoint.server;
         rows.push_back({group, gossip::ShortServerIds::short_id_of(id)});
     }
@@ -68,14 +70,14 @@
     for (const gossip::GroupLocationRow& row : rows) {
         const std::optional<ServerIndex> server = short_ids_.find(row.server);
         if (!server) continue;
-        locations_.find_or_add(row.group, *server) = {
+        state_.locations.find_or_add(row.group, *server) = {
             .server = *server, .received_at = now, .announced_at = now, .announcement_pending = false};
     }
 }
 
 const std::vector<gossip::GroupLocation>& LocationPublisher::locations_of(const std::string& group) const {
     static const std::vector<gossip::GroupLocation> none;
-    return config_.gossip_enabled ? locations_.locations_of(short_hash(group)) : none;
+    return config_.gossip_enabled ? state_.locations.locations_of(short_hash(group)) : none;
 }
 
 bool LocationPublisher::is_current(TimePoint now, const gossip::GroupLocation& location) {
--- a/src/policy/location_publisher.h
+++ b/src/policy/location_publisher.h
@@ -1,6 +1,7 @@
 /// Which servers hold members of which affinity groups, told from balancer to balancer.
 #pragma once
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "base/pcg32.h"
@@ -13,14 +14,25 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// A balancer with a handful of connections has none of most groups, and would open each group on one more
 /// server. So the first balancer to place a member on a server publishes that, as far as the messages are
 /// paid for: each new request earns a credit in bytes. The first choice of a group's ranking need not be
 /// published, as it is one of every balancer's preferred servers.
 class LocationPublisher {
    public:
+    /// The credit that is saved up at the most, in bytes over all balancers that read them.
+    static constexpr double most_credit = 2400;
+
+    struct State {
+        gossip::GroupLocations locations;
+        std::vector<gossip::GroupPlacement> unpublished;
+        double credit = most_credit;
+        bool has_timer = false;  ///< the timer for the next message is set
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// All must outlive it.
     struct Parts {
         const PolicyConfig& config;
@@ -47,7 +59,7 @@
     /// What another balancer has published.
     void on_published(TimePoint now, const std::vector<gossip::GroupLocationRow>&);
     /// Another process has taken the server's place: it has no groups.
-    void forget_server(ServerIndex server) { locations_.remove_server(server); }
+    void forget_server(ServerIndex server) { state_.locations.remove_server(server); }
 
     /// The known locations of a group, also this balancer's own and old ones (see is_current); none where
     /// gossip is off. Valid until the next change.
@@ -56,11 +68,6 @@
     static bool is_current(TimePoint now, const gossip::GroupLocation&);
 
    private:
-    friend struct StateAccess;
-
-    /// The credit that is saved up at the most, in bytes over all balancers that read them.
-    static constexpr double most_credit = 2400;
-
     bool is_first_choice(TimePoint now, const std::string& group, ServerIndex);
 
     const PolicyConfig& config_;
@@ -69,10 +76,7 @@
     RendezvousRankings& rankings_;
     PolicyActions& actions_;
     Pcg32& random_;
-    gossip::GroupLocations locations_;
-    std::vector<gossip::GroupPlacement> unpublished_;
-    double credit_ = most_credit;
-    bool has_timer_ = false;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -6,41 +6,42 @@
 namespace headrouter {
 
 void OutlierDetector::on_failure(TimePoint now, double penalty) {
-    failure_penalty_ = std::min(largest_penalty, failure_penalty(now) + penalty);
-    penalty_at_ = now;
-    consecutive_failures_ = std::min(consecutive_failures_ + 1, most_failures_counted);
-    const Duration backoff = first_backoff * static_cast<double>(1 << (consecutive_failures_ - 1));
-    backoff_until_ = std::max(backoff_until_, now + std::min(backoff, longest_backoff));
+    state_.failure_penalty = std::min(largest_penalty, failure_penalty(now) + penalty);
+    state_.penalty_at = now;
+    state_.consecutive_failures = std::min(state_.consecutive_failures + 1, most_failures_counted);
+    const Duration backoff = first_backoff * static_cast<double>(1 << (state_.consecutive_failures - 1));
+    state_.backoff_until = std::max(state_.backoff_until, now + std::min(backoff, longest_backoff));
 }
 
 bool OutlierDetector::on_reset(TimePoint now, size_t connections) {
-    consecutive_resets_ = now - reset_at_ < crash_window ? consecutive_resets_ + 1 : 1;
-    reset_at_ = now;
+    state_.consecutive_resets = now - state_.reset_at < crash_window ? state_.consecutive_resets + 1 : 1;
+    state_.reset_at = now;
     on_failure(now, penalty_reset);
-    return consecutive_resets_ >= fewest_resets_of_crash &&
-           consecutive_resets_ >= static_cast<int>(connections);
+    return state_.consecutive_resets >= fewest_resets_of_crash &&
+           state_.consecutive_resets >= static_cast<int>(connections);
 }
 
 void OutlierDetector::on_established(TimePoint now) {
-    consecutive_failures_ = 0;
-    backoff_until_ = TimePoint{};
-    failure_penalty_ = std::max(0.0, failure_penalty(now) - penalty_forgiven);
-    penalty_at_ = now;
+    state_.consecutive_failures = 0;
+    state_.backoff_until = TimePoint{};
+    state_.failure_penalty = std::max(0.0, failure_penalty(now) - penalty_forgiven);
+    state_.penalty_at = now;
 }
 
 void OutlierDetector::on_restart() {
-    failure_penalty_ = 0;
-    consecutive_failures_ = 0;
-    backoff_until_ = TimePoint{};
-    ejected_until_ = TimePoint{};
+    state_.failure_penalty = 0;
+    state_.consecutive_failures = 0;
+    state_.backoff_until = TimePoint{};
+    state_.ejected_until = TimePoint{};
 }
 
 bool OutlierDetector::end_cycle(TimePoint now) {
-    const int kept = sent_in_cycle_ - lost_in_cycle_;
-    const bool ejected = sent_in_cycle_ >= fewest_sent_to_judge && kept < sent_in_cycle_ * least_kept;
-    if (ejected) ejected_until_ = now + ejection_time;
-    sent_in_cycle_ = 0;
-    lost_in_cycle_ = 0;
+    const int kept = state_.sent_in_cycle - state_.lost_in_cycle;
+    const bool ejected =
+        state_.sent_in_cycle >= fewest_sent_to_judge && kept < state_.sent_in_cycle * least_kept;
+    if (ejected) state_.ejected_until = now + ejection_time;
+    state_.sent_in_cycle = 0;
+    state_.lost_in_cycle = 0;
     return ejected;
 }
 
@@ -51,7 +52,7 @@
 }
 
 double OutlierDetector::failure_penalty(TimePoint now) const {
-    return failure_penalty_ * std::exp2(-((now - penalty_at_) / penalty_half_life));
+    return state_.failure_penalty * std::exp2(-((now - state_.penalty_at) / penalty_half_life));
 }
 
 bool OutlierDetector::is_clear(TimePoint now) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -6,8 +6,6 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// The failure history of one server.
 ///
 /// | after                                   | the server gets                    | until | |
@@ -18,6 +16,21 @@
 /// | a cycle in which it kept almost nothing | nothing                            | its ejection ends |
 class OutlierDetector {
    public:
+    struct State {
+        double failure_penalty = 0;  ///< as of `penalty_at`
+        TimePoint penalty_at;
+        int consecutive_failures = 0;
+        TimePoint backoff_until;
+        TimePoint ejected_until;
+        int sent_in_cycle = 0;
+        int lost_in_cycle = 0;
+        int consecutive_resets = 0;
+        TimePoint reset_at;  ///< the latest
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// The penalty of an attempt that was lost.
     static constexpr double penalty_failed = 1;
     /// The penalty of an attempt that a full server rejected, which says less of its health.
@@ -33,8 +46,8 @@
     /// Another process has taken the server's place: forgets the failures of the old one.
     void on_restart();
 
-    void count_sent() { ++sent_in_cycle_; }
-    void count_lost() { ++lost_in_cycle_; }
+    void count_sent() { ++state_.sent_in_cycle; }
+    void count_lost() { ++state_.lost_in_cycle; }
     /// Judges what was sent and lost since the last call. True where the server is ejected for it.
     bool end_cycle(TimePoint now);
 
@@ -46,14 +59,11 @@
     double failure_penalty(TimePoint now) const;
     /// The part of its share that the server gets, between 0 and 1.
     double trust(TimePoint now) const { return 1 / (1 + failure_penalty(now)); }
-    bool is_failing() const { return consecutive_failures_ > 0; }
-    bool is_ejected(TimePoint now) const { return now < ejected_until_; }
-    bool is_in_backoff(TimePoint now) const { return now < backoff_until_; }
+    bool is_failing() const { return state_.consecutive_failures > 0; }
+    bool is_ejected(TimePoint now) const { return now < state_.ejected_until; }
+    bool is_in_backoff(TimePoint now) const { return now < state_.backoff_until; }
 
    private:
-    friend struct StateAccess;
-    friend struct PolicyInspector;
-
     /// The penalty of a reset connection.
     static constexpr double penalty_reset = 0.5;
     /// What an established attempt takes off the penalty.
@@ -78,15 +88,7 @@
     static constexpr double least_kept = 0.1;
     static constexpr Duration ejection_time = seconds(30);
 
-    double failure_penalty_ = 0;  // as of penalty_at_
-    TimePoint penalty_at_;
-    int consecutive_failures_ = 0;
-    TimePoint backoff_until_;
-    TimePoint ejected_until_;
-    int sent_in_cycle_ = 0;
-    int lost_in_cycle_ = 0;
-    int consecutive_resets_ = 0;
-    TimePoint reset_at_;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -59,10 +59,12 @@
     std::optional<ServerIndex> choose(const PlacementContext&);
     /// Whether the server has room for the request; `in_group`: with a group's members, which go further.
     bool has_room(const PlacementContext&, ServerIndex, bool in_group) const;
+    /// Of two servers, the one with the lower draw for its weight is this balancer's before the other.
+    double subset_rank(ServerIndex server) const {
+        return servers_[server].subset_draw / servers_[server].weight;
+    }
 
    private:
-    friend struct PolicyInspector;
-
     /// The first servers of a group's ranking, whose shares together hold the group.
     struct PreferredServers {
         size_t end = 0;  ///< of their part of the ranking's order
@@ -113,10 +115,6 @@
     /// those that are heard of. Otherwise, with hundreds of balancers, what one migrates off a slow server
     /// another brings back.
     bool is_probably_slow(const PlacementContext&, ServerIndex);
-    /// Of two servers, the one with the lower draw for its weight is this balancer's before the other.
-    double subset_rank(ServerIndex server) const {
-        return servers_[server].subset_draw / servers_[server].weight;
-    }
 
     const PolicyConfig& config_;
     const ServerTable& servers_;
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -60,15 +60,16 @@
     RequestId select(TimePoint now, ServerIndex);
     /// The selected connection, of that load, was migrated.
     void on_migrated(TimePoint now, ServerIndex, double load);
-
-   private:
-    friend struct PolicyInspector;
-    /// Starts to drain the server if it is too far above `share`.
-    void plan_drain(TimePoint now, ServerIndex, double share);
+    /// The connection whose migration off the server is worth most; zero: none.
+    ///
     /// Protected connections stay until their server is balanced and go first after that. Of the others, the
     /// one that frees most load goes, as each migration has a price. Protection is from balancing: on a slow
     /// server, where nobody is served well, it only means going last.
     RequestId select_migration(TimePoint now, const ServerState&);
+
+   private:
+    /// Starts to drain the server if it is too far above `share`.
+    void plan_drain(TimePoint now, ServerIndex, double share);
     /// What the server gains by the connection's end. More than the surplus is no gain; a group's last member
     /// takes the group's own load along.
     double load_freed_by(const RequestState&, const ServerState&) const;
--- a/src/policy/rendezvous_rankings.h
+++ b/src/policy/rendezvous_rankings.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <string>
 #include <unordered_map>
+#include <utility>
 
 #include "fleet_load/rendezvous_ranking.h"
 #include "policy/server_table.h"
@@ -11,14 +12,18 @@
 /// Keeps the rankings of names in use.
 class RendezvousRankings {
    public:
+    /// By name; looked up only: in no order.
+    using State = std::unordered_map<std::string, fleet_load::RendezvousRanking>;
+
+    [[nodiscard]] const State& state() const { return rankings_; }
+    void restore(State state) { rankings_ = std::move(state); }
+
     /// The name's ranking of all servers. Valid until the next call.
     const fleet_load::RendezvousRanking& of(const std::string& name, const ServerTable&);
 
    private:
-    friend struct StateAccess;
     static constexpr size_t most_names = 4096;
-    std::unordered_map<std::string, fleet_load::RendezvousRanking>
-        rankings_;  // looked up only: its order is arbitrary
+    State rankings_;
 };
 
 }  // namespace headrouter
--- a/src/policy/request_queue.cpp
+++ b/src/policy/request_queue.cpp
@@ -17,15 +17,15 @@
 }
 
 void RequestQueue::add(TimePoint now, RequestState& request) {
-    if (!request.queued) waiting_.push_back(request.id);
+    if (!request.queued) state_.waiting.push_back(request.id);
     request.queued = true;
-    if (!has_timer_) actions_.set_timer(now + retry_interval, timer_token(TimerKind::retry_queued));
-    has_timer_ = true;
+    if (!state_.has_timer) actions_.set_timer(now + retry_interval, timer_token(TimerKind::retry_queued));
+    state_.has_timer = true;
 }
 
 std::deque<RequestId> RequestQueue::take_all() {
-    has_timer_ = false;
-    return std::exchange(waiting_, {});
+    state_.has_timer = false;
+    return std::exchange(state_.waiting, {});
 }
 
 }  // namespace headrouter
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -1,6 +1,7 @@
 /// Requests that wait until a server may take them.
 #pragma once
 #include <deque>
+#include <utility>
 
 #include "base/time.h"
 #include "policy/policy_actions.h"
@@ -9,11 +10,17 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Queued requests in the order in which they came, and the timer by which all of them are tried again.
 class RequestQueue {
    public:
+    struct State {
+        std::deque<RequestId> waiting;
+        bool has_timer = false;  ///< the timer of the next attempt is set
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// Both must outlive it.
     RequestQueue(const PolicyConfig& config, PolicyActions& actions) : config_(config), actions_(actions) {}
 
@@ -25,12 +32,9 @@
     std::deque<RequestId> take_all();
 
    private:
-    friend struct StateAccess;
-
     const PolicyConfig& config_;
     PolicyActions& actions_;
-    std::deque<RequestId> waiting_;
-    bool has_timer_ = false;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/round_exchange.cpp
+++ b/src/policy/round_exchange.cpp
@@ -20,14 +20,14 @@
 }  // namespace
 
 void RoundExchange::configure() {
-    if (config_.gossip_enabled && !has_timer_)
+    if (config_.gossip_enabled && !state_.has_timer)
         actions_.set_timer(TimePoint{}, timer_token(TimerKind::gossip_round));
-    has_timer_ = config_.gossip_enabled;
+    state_.has_timer = config_.gossip_enabled;
 }
 
 void RoundExchange::begin_round(TimePoint now) {
-    has_timer_ = config_.gossip_enabled;
-    if (!has_timer_) return;
+    state_.has_timer = config_.gossip_enabled;
+    if (!state_.has_timer) return;
     const int64_t round = round_at(now);
     actions_.set_timer(round_start(round + 1) + loads_sent_within * random_.uniform(),
                        timer_token(TimerKind::gossip_round));
@@ -45,7 +45,7 @@
 void RoundExchange::sum_round(TimePoint now) {
     const int64_t round = round_at(now);
     const int own_index = static_cast<int>(config_.replica_index);
-    gossip::LoadTally& tally = rounds_.tally();
+    gossip::LoadTally& tally = state_.rounds.tally();
     tally.add({round, own_index, loads_.total(), own_loads()}, config_.replica_count);
     const double total = tally.total_load();
     const double mean = total / std::max(1, servers_.active_count());
@@ -67,7 +67,7 @@
             loads.push_back({*server, row.load});
     const int reporter = reporter_of(round);
     if (message.kind == gossip::MessageKind::round_counts && is_own(reporter))
-        rounds_.tally().add({round, replica, message.total_load, loads}, config_.replica_count);
+        state_.rounds.tally().add({round, replica, message.total_load, loads}, config_.replica_count);
     if (message.kind == gossip::MessageKind::round_sum && reporter == replica)
         on_sum(now, {round, message.reporter_count, message.total_load, loads});
 }
@@ -78,7 +78,7 @@
         const bool is_active = eligibility::takes_new_requests(server.endpoint.state);
         estimates.push_back({ServerTable::listed_weight(server), is_active, server.fleet_load});
     }
-    if (!rounds_.on_sum(now, sum, config_.replica_count, loads_.total(), estimates)) return;
+    if (!state_.rounds.on_sum(now, sum, config_.replica_count, loads_.total(), estimates)) return;
     for (const ServerIndex index : servers_.indexes()) {
         servers_[index].fleet_load = estimates[index.value()].pooled_load;
         servers_[index].own_load_then = loads_.load_on(servers_[index]);
@@ -86,7 +86,7 @@
 }
 
 double RoundExchange::trust(TimePoint now) const {
-    return config_.gossip_enabled ? rounds_.freshness(now) : 0;
+    return config_.gossip_enabled ? state_.rounds.freshness(now) : 0;
 }
 
 int64_t RoundExchange::round_at(TimePoint now) const {
--- a/src/policy/round_exchange.h
+++ b/src/policy/round_exchange.h
@@ -1,6 +1,7 @@
 /// The load of all balancers, summed by one of them in each round.
 #pragma once
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "base/pcg32.h"
@@ -12,13 +13,19 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Once a round, by the wall clock, each balancer sends its loads to the round's reporter, and that one sends
 /// all of them the sum: two messages a balancer and round. The reporter changes with each round, so one that
 /// is dead costs a round only. What is believed of a sum is up to gossip::GossipRounds.
 class RoundExchange {
    public:
+    struct State {
+        gossip::GossipRounds rounds;
+        bool has_timer = false;  ///< the timer of the next round is set
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// All must outlive it.
     struct Parts {
         const PolicyConfig& config;
@@ -48,11 +55,9 @@
     /// Trust in the load of the fleet as published, 0 (none or old) to 1.
     double trust(TimePoint now) const;
     /// Load over all balancers, in mean load units.
-    double total_load() const { return rounds_.total_load(); }
+    double total_load() const { return state_.rounds.total_load(); }
 
    private:
-    friend struct StateAccess;
-
     int64_t round_at(TimePoint now) const;
     TimePoint round_start(int64_t round) const;
     int reporter_of(int64_t round) const;
@@ -67,8 +72,7 @@
     const gossip::ShortServerIds& short_ids_;
     PolicyActions& actions_;
     Pcg32& random_;
-    gossip::GossipRounds rounds_;
-    bool has_timer_ = false;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/server_loads.cpp
+++ b/src/policy/server_loads.cpp
@@ -14,22 +14,22 @@
 void ServerLoads::learn_hinted_load(RequestState& request) {
     if (!request.hinted_load) return;
     request.load = static_cast<double>(request.hinted_load->ns) / ns_per_microsecond;
-    class_loads_.add_report(request.type, *request.load);
+    state_.class_loads.add_report(request.type, *request.load);
 }
 
 void ServerLoads::record_load(RequestState& request, double micros_a_second) {
-    for (ConnectionLoad* load : {&servers_[request.attempts.back().server].load, &total_})
+    for (ConnectionLoad* load : {&servers_[request.attempts.back().server].load, &state_.total})
         load->report(request.type, request.load, micros_a_second);
     request.load = micros_a_second;
-    class_loads_.add_report(request.type, micros_a_second);
+    state_.class_loads.add_report(request.type, micros_a_second);
 }
 
 void ServerLoads::add_connection(ServerIndex index, RequestState& request) {
     ServerState& server = servers_[index];
     request.connection_index = static_cast<int>(server.connections.size());
-    if (server.connections.empty()) ++servers_in_use_;
+    if (server.connections.empty()) ++state_.servers_in_use;
     server.connections.push_back(request.id);
-    for (ConnectionLoad* load : {&server.load, &total_})
+    for (ConnectionLoad* load : {&server.load, &state_.total})
         load->add(request.type, request.load, config_.request_classes.size());
     if (!request.is_protected) return;
     ++server.protected_connections;
@@ -41,9 +41,9 @@
     const RequestId last = server.connections.back();
     server.connections[*request.connection_index] = last;
     server.connections.pop_back();
-    if (server.connections.empty()) --servers_in_use_;
+    if (server.connections.empty()) --state_.servers_in_use;
     request.connection_index.reset();
-    for (ConnectionLoad* load : {&server.load, &total_}) load->remove(request.type, request.load);
+    for (ConnectionLoad* load : {&server.load, &state_.total}) load->remove(request.type, request.load);
     if (request.is_protected) --server.protected_connections;
     if (last == request.id) return std::nullopt;
     return last;
--- a/src/policy/server_loads.h
+++ b/src/policy/server_loads.h
@@ -1,6 +1,7 @@
 /// The load that this balancer has on each server and on all.
 #pragma once
 #include <optional>
+#include <utility>
 
 #include "load/request_class_loads.h"
 #include "policy/policy_config.h"
@@ -9,8 +10,6 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Keeps the load of each server, and their sum, in step with each connection, so that no request costs a
 /// pass over a large fleet.
 ///
@@ -19,10 +18,19 @@
 /// mirror load where classes differ in it.
 class ServerLoads {
    public:
+    struct State {
+        ConnectionLoad total;
+        RequestClassLoads class_loads;
+        int servers_in_use = 0;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(State state) { state_ = std::move(state); }
+
     /// Both must outlive it.
     ServerLoads(const PolicyConfig& config, ServerTable& servers) : config_(config), servers_(servers) {}
     /// The configuration has changed.
-    void configure() { class_loads_.resize(config_.request_classes.size()); }
+    void configure() { state_.class_loads.resize(config_.request_classes.size()); }
 
     /// Takes over the load that a client hinted for its request, if it did.
     void learn_hinted_load(RequestState&);
@@ -35,15 +43,15 @@
     std::optional<RequestId> remove_connection(RequestState&);
 
     double load_of(const RequestState& request) const {
-        return request.load ? *request.load / class_loads_.mean_unit()
-                            : class_loads_.relative_load(request.type);
+        return request.load ? *request.load / state_.class_loads.mean_unit()
+                            : state_.class_loads.relative_load(request.type);
     }
-    double load_on(const ServerState& server) const { return server.load.in_units(class_loads_); }
-    double total() const { return total_.in_units(class_loads_); }
+    double load_on(const ServerState& server) const { return server.load.in_units(state_.class_loads); }
+    double total() const { return state_.total.in_units(state_.class_loads); }
     /// What the server's weight alone gives it of this balancer's load.
     double full_share(const ServerState&) const;
     /// How many servers have any connection of this balancer.
-    int servers_in_use() const { return servers_in_use_; }
+    int servers_in_use() const { return state_.servers_in_use; }
 
     /// The load above which the server is known to answer slowly, if there is one.
     std::optional<double> load_limit(TimePoint now, const ServerState&) const;
@@ -51,12 +59,9 @@
     std::optional<double> rounded_load_limit(TimePoint now, const ServerState&) const;
 
    private:
-    friend struct StateAccess;
     const PolicyConfig& config_;
     ServerTable& servers_;
-    ConnectionLoad total_;
-    RequestClassLoads class_loads_;
-    int servers_in_use_ = 0;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -24,40 +24,40 @@
 }  // namespace
 
 std::optional<ServerIndex> ServerTable::find(const ServerId& id) const {
-    const auto it = index_.find(id);
-    if (it == index_.end()) return std::nullopt;
+    const auto it = state_.index.find(id);
+    if (it == state_.index.end()) return std::nullopt;
     return it->second;
 }
 
 ServerTable::Applied ServerTable::apply(const Endpoint& endpoint) {
-    const auto [it, is_new] = index_.emplace(endpoint.server, ServerIndex{size()});
-    if (is_new) servers_.emplace_back().id_hash = hash_of(endpoint.server);
+    const auto [it, is_new] = state_.index.emplace(endpoint.server, ServerIndex{size()});
+    if (is_new) state_.servers.emplace_back().id_hash = hash_of(endpoint.server);
     ServerState& server = (*this)[it->second];
     const std::optional<TimePoint>& known = server.endpoint.launched;
     const bool is_later = endpoint.launched && (!known || *endpoint.launched > *known);
     server.endpoint = endpoint;
-    server.named_in_update = updates_;
+    server.named_in_update = state_.updates;
     server.weight = weight_here(server);
     return {it->second, is_new, !is_new && is_later};
 }
 
 void ServerTable::end_update(bool is_whole_list) {
-    active_weight_ = 0;
-    active_listed_weight_ = 0;
-    active_count_ = 0;
-    for (ServerState& server : servers_) {
-        if (is_whole_list && server.named_in_update != updates_)
+    state_.active_weight = 0;
+    state_.active_listed_weight = 0;
+    state_.active_count = 0;
+    for (ServerState& server : state_.servers) {
+        if (is_whole_list && server.named_in_update != state_.updates)
             server.endpoint.state = EndpointState::removed;
         if (!eligibility::takes_new_requests(server.endpoint.state)) continue;
-        active_weight_ += server.weight;
-        active_listed_weight_ += listed_weight(server);
-        ++active_count_;
+        state_.active_weight += server.weight;
+        state_.active_listed_weight += listed_weight(server);
+        ++state_.active_count;
     }
 }
 
 std::vector<fleet_load::WeightedServer> ServerTable::order_entries() const {
     std::vector<fleet_load::WeightedServer> entries;
-    for (const ServerState& server : servers_) {
+    for (const ServerState& server : state_.servers) {
         const bool is_active = eligibility::takes_new_requests(server.endpoint.state);
         entries.push_back({server.id_hash, server.weight, is_active});
     }
--- a/src/policy/surplus_drain.h
+++ b/src/policy/surplus_drain.h
@@ -8,11 +8,20 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// How much of one server's load is still to be migrated off, and at what pace. Loads in mean load units.
 class SurplusDrain {
    public:
+    struct State {
+        SlidingWindow<cycle_clock::cycles_remembered> excess{cycle_clock::cycle_time};
+        double remaining = 0;  ///< to be migrated off
+        Duration interval;     ///< between two steps
+        bool is_active = false;
+        bool protected_go_first = false;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// Migrates `load` off in about so many steps spread over `duration`. Returns when the first step is due,
     /// by chance within one interval, so that balancers do not act together; nothing if a drain runs already.
     std::optional<TimePoint> start(TimePoint now, double load, int steps, Duration duration, Pcg32& random);
@@ -20,24 +29,18 @@
     bool begin_step();
     /// A connection of so much load was migrated. Returns when the next step is due, if there is one.
     std::optional<TimePoint> end_step(TimePoint now, double migrated);
-    double remaining() const { return remaining_; }
+    double remaining() const { return state_.remaining; }
 
     /// The server is over its share by `excess`; returns the largest excess of the last cycles.
     double record_excess(TimePoint now, double excess);
-    void forget_excess() { excess_.clear(); }
+    void forget_excess() { state_.excess.clear(); }
 
     /// Protected connections stay until their server is balanced once, and go first after that.
-    void set_protected_first(bool first) { protected_go_first_ = first; }
-    bool protected_go_first() const { return protected_go_first_; }
+    void set_protected_first(bool first) { state_.protected_go_first = first; }
+    bool protected_go_first() const { return state_.protected_go_first; }
 
    private:
-    friend struct StateAccess;
-    friend struct PolicyInspector;
-    SlidingWindow<cycle_clock::cycles_remembered> excess_{cycle_clock::cycle_time};
-    double remaining_ = 0;
-    Duration interval_;
-    bool is_active_ = false;
-    bool protected_go_first_ = false;
+    State state_;
 };
 
 }  // namespace headrouter
--- a/src/policy/warmup_admission.cpp
+++ b/src/policy/warmup_admission.cpp
@@ -33,7 +33,7 @@
     // Without a quota, the others are taken to have as much as this balancer.
     const double fleet_load =
         config_.quota > 0 ? config_.quota : std::max(loads_.total(), load) * config_.replica_count;
-    return fleet_load * ServerTable::listed_weight(server) / warm_weight_;
+    return fleet_load * ServerTable::listed_weight(server) / state_.warm_weight;
 }
 
 void WarmupAdmission::on_endpoints(TimePoint now) {
@@ -44,12 +44,13 @@
     }
     // Of a fleet that the cold servers replace nothing is known at the first update.
     const double replaced_weight = servers_.is_first_update() ? 0 : cold_weight;
-    warm_weight_ = std::max(warm_weight_, servers_.active_listed_weight() - replaced_weight);
+    state_.warm_weight = std::max(state_.warm_weight, servers_.active_listed_weight() - replaced_weight);
 }
 
 void WarmupAdmission::on_cycle() {
-    warm_weight_ = std::clamp(servers_.active_listed_weight(), warm_weight_ * weight_kept_per_cycle,
-                              warm_weight_ / weight_kept_per_cycle);
+    state_.warm_weight =
+        std::clamp(servers_.active_listed_weight(), state_.warm_weight * weight_kept_per_cycle,
+                   state_.warm_weight / weight_kept_per_cycle);
 }
 
 }  // namespace headrouter
--- a/src/policy/warmup_admission.h
+++ b/src/policy/warmup_admission.h
@@ -6,8 +6,6 @@
 
 namespace headrouter {
 
-struct StateAccess;
-
 /// Limits what a cold server is sent, by two rules that hold until its slow start is over:
 ///
 /// - its share grows with the time since its process started (SlowStart);
@@ -18,6 +16,14 @@
 /// Loads are in mean load units.
 class WarmupAdmission {
    public:
+    struct State {
+        /// Listed weight of the fleet when warm; not zero, as it is divided by.
+        double warm_weight = 1e-9;
+    };
+
+    [[nodiscard]] const State& state() const { return state_; }
+    void restore(const State& state) { state_ = state; }
+
     /// All must outlive it.
     WarmupAdmission(const PolicyConfig& config, const ServerTable& servers, const ServerLoads& loads)
         : config_(config), servers_(servers), loads_(loads) {}
@@ -40,14 +46,13 @@
     void on_cycle();
 
    private:
-    friend struct StateAccess;
     /// What the server carries when it is warm, as far as this balancer can tell while it places `load`.
     double warm_capacity(const ServerState&, double load) const;
 
     const PolicyConfig& config_;
     const ServerTable& servers_;
     const ServerLoads& loads_;
-    double warm_weight_ = 1e-9;  // listed weight of the fleet when warm; not zero, as it is divided by
+    State state_;
 };
 
 }  // namespace headrouter
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -6,7 +6,7 @@
 #include <limits>
 #include <string>
 
-#include "capture/policy_visits.h"
+#include "capture/policy_form.h"
 #include "hot_restart/balancer_parts.h"
 #include "hot_restart/state_version.h"
 #include "hot_restart/transfer_state.h"
@@ -98,7 +98,8 @@
     RecordingActions actions;
     BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     capture::FieldRecorder fields;
-    StateAccess::visit_state(fields, policy);
+    BalancingPolicy::State state = policy.state();
+    capture::visit(fields, state);
     EXPECT_EQ(wrapped(fields.types()), read_whole(pinned("policy-fields", ".txt"))) << what_to_do;
 }
 
--- a/tests/policy/test_attempts.cpp
+++ b/tests/policy/test_attempts.cpp
@@ -55,11 +55,14 @@
 // A server that takes calls and answers none: the skip grows, and one attempt at a time tries it.
 TEST(Attempts, AFailingServerIsTriedByOneLegAtATime) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
-    inspector.consecutive_failures("a") = 1;
+    OutlierDetector::State outliers = inspector.outliers("a");
+    outliers.consecutive_failures = 1;
+    inspector.set_outliers("a", outliers);
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "a"));
     inspector.server("a").pending_attempts = 1;
     EXPECT_FALSE(inspector.is_selectable(cycle_start, "a"));
-    inspector.consecutive_failures("a") = 0;
+    outliers.consecutive_failures = 0;
+    inspector.set_outliers("a", outliers);
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "a"));
 }
 
@@ -82,7 +85,9 @@
     policy.on_attempt_ended(cycle_start, 30, 0, AttemptOutcome::reset, {}, true, {});
     EXPECT_TRUE(inspector.is_restart_expected("a"));
     EXPECT_FALSE(inspector.is_restart_expected("b"));
-    inspector.backoff_until("a") = {};
+    OutlierDetector::State outliers = inspector.outliers("a");
+    outliers.backoff_until = {};
+    inspector.set_outliers("a", outliers);
     const TimePoint now = cycle_start + seconds(8);
     policy.on_request(now, make_request(1, now));
     EXPECT_EQ(actions.attempts[0].server, "a");
--- a/tests/policy/test_rebalancing.cpp
+++ b/tests/policy/test_rebalancing.cpp
@@ -15,7 +15,7 @@
     EXPECT_EQ(inspector.surplus("a"), 3);  // 18 over share, a sixth
     EXPECT_EQ(inspector.surplus("b"), 0);
     EXPECT_FALSE(inspector.is_draining("b"));
-    inspector.is_draining("a") = false;
+    inspector.end_drain("a");
     adopt_connections(policy, cycle_start, "b", 200, 17);  // 9.5 over share: under the floor
     inspector.plan_migrations(cycle_start);
     EXPECT_FALSE(inspector.is_draining("a"));
@@ -35,7 +35,7 @@
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 30);
     adopt_connections(policy, cycle_start, "b", 100, 8);
-    inspector.excess("a").raise_to(cycle_start - seconds(30), 18);  // 11 now
+    inspector.raise_excess("a", cycle_start - seconds(30), 18);  // 11 now
     inspector.plan_migrations(cycle_start);
     EXPECT_EQ(inspector.surplus("a"), 3);
 }
@@ -86,16 +86,20 @@
     adopt_connections(policy, cycle_start, "b", 1, 10);
     inspector.request(1).is_protected = true;
     inspector.server("b").protected_connections = 1;
-    inspector.excess("b").raise_to(cycle_start, 9);
-    inspector.sent_in_cycle("a") = 20;
-    inspector.lost_in_cycle("a") = 19;
+    inspector.raise_excess("b", cycle_start, 9);
+    OutlierDetector::State outliers = inspector.outliers("a");
+    outliers.sent_in_cycle = 20;
+    outliers.lost_in_cycle = 19;
+    inspector.set_outliers("a", outliers);
     inspector.eject_outliers(cycle_start);
     EXPECT_FALSE(inspector.is_selectable(cycle_start + seconds(20), "a"));
     EXPECT_TRUE(inspector.is_selectable(cycle_start + seconds(31), "a"));
-    EXPECT_EQ(inspector.excess("b").max_bucket(cycle_start), 0);
+    EXPECT_EQ(inspector.largest_excess("b", cycle_start), 0);
     EXPECT_FALSE(inspector.request(1).is_protected);
-    inspector.sent_in_cycle("b") = 19;
-    inspector.lost_in_cycle("b") = 19;
+    outliers = inspector.outliers("b");
+    outliers.sent_in_cycle = 19;
+    outliers.lost_in_cycle = 19;
+    inspector.set_outliers("b", outliers);
     inspector.eject_outliers(cycle_start);
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "b"));  // too few to judge
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -64,65 +64,82 @@
 /// Reads and sets the state of a policy's components.
 struct PolicyInspector {
     BalancingPolicy& policy;
-    ServerIndex index(const ServerId& id) { return policy.servers_.find(id).value(); }
-    ServerState& server(const ServerId& id) { return policy.servers_[index(id)]; }
-    RequestState& request(RequestId id) { return policy.requests_.at(id); }
-    bool has_request(RequestId id) { return policy.requests_.contains(id); }
+    ServerIndex index(const ServerId& id) { return policy.parts().servers.find(id).value(); }
+    ServerState& server(const ServerId& id) { return policy.parts().servers[index(id)]; }
+    RequestState& request(RequestId id) { return policy.parts().requests.at(id); }
+    bool has_request(RequestId id) { return policy.parts().requests.contains(id); }
 
     // A server's failures.
-    double& recorded_penalty(const ServerId& id) { return server(id).outliers.failure_penalty_; }
-    TimePoint& penalty_at(const ServerId& id) { return server(id).outliers.penalty_at_; }
-    int& consecutive_failures(const ServerId& id) { return server(id).outliers.consecutive_failures_; }
-    TimePoint& backoff_until(const ServerId& id) { return server(id).outliers.backoff_until_; }
-    int& sent_in_cycle(const ServerId& id) { return server(id).outliers.sent_in_cycle_; }
-    int& lost_in_cycle(const ServerId& id) { return server(id).outliers.lost_in_cycle_; }
+    OutlierDetector::State outliers(const ServerId& id) { return server(id).outliers.state(); }
+    void set_outliers(const ServerId& id, const OutlierDetector::State& state) {
+        server(id).outliers.restore(state);
+    }
     double failure_penalty(TimePoint now, const ServerId& id) {
         return server(id).outliers.failure_penalty(now);
     }
     void record_failure(TimePoint now, const ServerId& id) {
-        policy.health_.record_failure(now, index(id), 1);
+        policy.parts().health.record_failure(now, index(id), 1);
     }
     bool is_selectable(TimePoint now, const ServerId& id) {
         return eligibility::is_selectable(now, server(id));
     }
 
     // Its load, its limit and its slow start.
-    double load(const ServerId& id) { return policy.loads_.load_on(server(id)); }
+    double load(const ServerId& id) { return policy.parts().loads.load_on(server(id)); }
     double load_limit(TimePoint now, const ServerId& id) {
-        return policy.loads_.rounded_load_limit(now, server(id)).value();
+        return policy.parts().loads.rounded_load_limit(now, server(id)).value();
     }
     bool has_load_limit(TimePoint now, const ServerId& id) {
-        return policy.loads_.rounded_load_limit(now, server(id)).has_value();
+        return policy.parts().loads.rounded_load_limit(now, server(id)).has_value();
+    }
+    void set_load_limit(const ServerId& id, TimePoint now, double limit) {
+        LoadLimit::State state = server(id).load_limit.state();
+        state.limit = limit;
+        state.limited_at = now;
+        server(id).load_limit.restore(state);
     }
-    std::optional<double>& recorded_limit(const ServerId& id) { return server(id).load_limit.limit_; }
-    TimePoint& limited_at(const ServerId& id) { return server(id).load_limit.limited_at_; }
     double share(TimePoint now, const ServerId& id) {
-        const FleetView fleet = policy.shares_.view(now, nullptr);
-        return policy.shares_.share(fleet, index(id));
+        const FleetView fleet = policy.parts().shares.view(now, nullptr);
+        return policy.parts().shares.share(fleet, index(id));
     }
     std::optional<TimePoint> started(const ServerId& id) { return server(id).slow_start.started(); }
     bool is_restart_expected(const ServerId& id) { return server(id).slow_start.is_restart_expected(); }
 
     // Rebalancing.
-    void plan_migrations(TimePoint now) { policy.rebalance_.plan_migrations(now); }
-    void eject_outliers(TimePoint now) { policy.rebalance_.eject_outliers(now); }
+    void plan_migrations(TimePoint now) { policy.parts().rebalance.plan_migrations(now); }
+    void eject_outliers(TimePoint now) { policy.parts().rebalance.eject_outliers(now); }
     RequestId select_migration(TimePoint now, const ServerId& id) {
-        return policy.rebalance_.select_migration(now, server(id));
+        return policy.parts().rebalance.select_migration(now, server(id));
+    }
+    void raise_excess(const ServerId& id, TimePoint now, double excess) {
+        SurplusDrain::State state = server(id).drain.state();
+        state.excess.raise_to(now, excess);
+        server(id).drain.restore(state);
+    }
+    double largest_excess(const ServerId& id, TimePoint now) {
+        SurplusDrain::State state = server(id).drain.state();
+        return state.excess.max_bucket(now);
     }
-    SlidingWindow<6>& excess(const ServerId& id) { return server(id).drain.excess_; }
     double surplus(const ServerId& id) { return server(id).drain.remaining(); }
-    bool& is_draining(const ServerId& id) { return server(id).drain.is_active_; }
+    bool is_draining(const ServerId& id) { return server(id).drain.state().is_active; }
+    void end_drain(const ServerId& id) {
+        SurplusDrain::State state = server(id).drain.state();
+        state.is_active = false;
+        server(id).drain.restore(state);
+    }
     void record_failover(TimePoint now, const Request& request, const ServerId& id) {
-        policy.failovers_.record(now, request.key, index(id), false);
+        policy.parts().failovers.record(now, request.key, index(id), false);
     }
-    size_t recorded_failovers() { return policy.failovers_.state().entries.size(); }
+    size_t recorded_failovers() { return policy.parts().failovers.state().entries.size(); }
 
     /// The first `size` servers of this replica's deterministic subsetting order.
     std::vector<ServerId> subset(size_t size) {
         std::vector<ServerId> servers;
-        for (const ServerState& server : policy.servers_.all()) servers.push_back(server.endpoint.server);
+        for (const ServerState& server : policy.parts().servers.all())
+            servers.push_back(server.endpoint.server);
         std::sort(servers.begin(), servers.end(), [&](const ServerId& left, const ServerId& right) {
-            return policy.placement_.subset_rank(index(left)) < policy.placement_.subset_rank(index(right));
+            return policy.parts().placement.subset_rank(index(left)) <
+                   policy.parts().placement.subset_rank(index(right));
         });
         servers.resize(size);
         return servers;
@@ -130,14 +147,14 @@
 
     // What gossip brought.
     double fleet_load(const ServerId& id) { return server(id).fleet_load; }
-    double fleet_total() { return policy.gossip_.fleet_total(); }
-    double fleet_trust(TimePoint now) { return policy.gossip_.trust(now); }
+    double fleet_total() { return policy.parts().gossip.fleet_total(); }
+    double fleet_trust(TimePoint now) { return policy.parts().gossip.trust(now); }
     bool has_room_for_group(TimePoint now, const ServerId& id) {
         const RequestState request = make_group_request(now);
-        const FleetView fleet = policy.shares_.view(now, &request);
+        const FleetView fleet = policy.parts().shares.view(now, &request);
         const PlacementContext context{
-            now, request, fleet, policy.loads_.load_of(request), {}, policy.gossip_.trust(now)};
-        return policy.placement_.has_room(context, index(id), true);
+            now, request, fleet, policy.parts().loads.load_of(request), {}, policy.parts().gossip.trust(now)};
+        return policy.parts().placement.has_room(context, index(id), true);
     }
 };
 
