--- /dev/null
+++ b/tests/proxy/balancer_fixture.h
@@ -0,0 +1,85 @@
+/// A whole balancer in the test's process, with one server and discovery, both played by the test.
+#pragma once
+#include <fcntl.h>
+
+#include <sstream>
+
+#include "proxy/balancer.h"
+#include "proxy/socket_peers.h"
+
+struct BalancerFixtureOptions {
+    int max_descriptors = 1024;
+    std::string server_address = {};  ///< of the one listed server; empty: the fixture's own
+    std::string discovery_mode = "push";
+    std::string admin_address = {};  ///< empty: none
+};
+
+struct BalancerFixture : EventLoopFixture {
+    Listener server_listener;
+    Listener discovery_listener;
+    std::ostringstream log_text;
+    Log log{log_text, LogLevel::debug};
+    Clock clock;
+    BootstrapConfig config;
+    std::unique_ptr<Balancer> balancer;
+    Peer discovery;  ///< the balancer's connection to discovery
+    uint64_t last_id = 1'000'000'000'000'000;
+
+    explicit BalancerFixture(const BalancerFixtureOptions& options = {}) {
+        const std::string server =
+            options.server_address.empty() ? server_listener.address : options.server_address;
+        config = parse_bootstrap_config(
+            R"({"name":"n","ops":")" + options.admin_address + R"(","listen":")" + unused_address() +
+                R"(","discovery":")" + discovery_listener.address +
+                R"(","seed":"8c1f30d27a5be964","limits":{"sockets":)" +
+                std::to_string(options.max_descriptors) +
+                R"(,"memory_mb":64},"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s",
+                "hostPort":")" +
+                server + R"(","zone":"a","lifecycle":"SERVING","weight":1,"startedAtMs":0}]},
+                "settings":{"discovery":")" +
+                options.discovery_mode + R"(","ceilings":{"maxLegs":2,"dialTimeoutNs":150000000},
+                "invariants":{"coldNs":0,"askEveryNs":4000000000},"failureDomains":["a"],"realms":[],"trafficTypes":[{"name":"chat",
+                "effect":"pure","setupTargetNs":800000000,"guardTimeNs":1000000000}]}})",
+            clock);
+        balancer = std::make_unique<Balancer>(loop, config, clock, log);
+        balancer->start();
+        discovery = accept(discovery_listener);
+    }
+    BalancerFixture(const BalancerFixture&) = delete;
+    BalancerFixture& operator=(const BalancerFixture&) = delete;
+    ~BalancerFixture() { balancer.reset(); }
+
+    uint64_t count(Counter counter) const { return balancer->counters()[counter]; }
+
+    /// A request line with an id of its own.
+    std::string make_request_line(const std::string& fields) {
+        return "OPEN " + std::to_string(++last_id) + " 2b " + fields + "\r\n";
+    }
+    /// A client that has sent its request.
+    Peer connect_client(const std::string& fields = "c=chat,d=900") {
+        Peer client = connect_peer(config.listen);
+        client.write(make_request_line(fields));
+        return client;
+    }
+    /// The connection that the balancer makes to the server for an attempt.
+    Peer accept_attempt() {
+        Peer server = accept(server_listener);
+        EXPECT_TRUE(receives(server, " 2b c=chat,d="));
+        EXPECT_EQ(server.received.find("d=900"), std::string::npos);
+        server.received.clear();
+        return server;
+    }
+    EstablishedRequest establish() {
+        Peer client = connect_client();
+        Peer server = accept_attempt();
+        server.write("UP r\r\n");
+        EXPECT_TRUE(receives(client, "UP r\r\n"));
+        client.received.clear();
+        return {std::move(client), std::move(server)};
+    }
+    /// Answers discovery's pending request with an endpoint list.
+    void send_endpoints(const std::string& body) const {
+        discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                        body);
+    }
+};
--- a/tests/proxy/socket_peers.h
+++ b/tests/proxy/socket_peers.h
@@ -6,93 +6,152 @@
 #include <unistd.h>
 
 #include <functional>
+#include <optional>
 #include <string>
 
 #include "policy_helpers.h"
 #include "transport/clock.h"
 #include "transport/socket.h"
 
-// The other end of a connection, driven by hand.
+/// The other end of a connection.
 struct Peer {
     FileDescriptor fd;
-    std::string got;
-    bool ended = false, broke = false;
+    std::string received;
+    bool saw_fin = false;
+    bool saw_reset = false;
+
+    bool is_closed() const { return saw_fin || saw_reset; }
+    /// Reads all that has arrived.
     void read() {
         char bytes[65536];
-        for (ssize_t n = 0; fd && !ended && !broke;) {
-            if ((n = recv(fd.get(), bytes, sizeof bytes, MSG_DONTWAIT)) > 0)
-                got.append(bytes, size_t(n));
-            else if (n == 0)
-                ended = true;
+        while (fd && !is_closed()) {
+            const ssize_t count = recv(fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
+            if (count > 0)
+                received.append(bytes, static_cast<size_t>(count));
+            else if (count == 0)
+                saw_fin = true;
             else if (errno == EAGAIN)
                 return;
             else
-                broke = true;
+                saw_reset = true;
         }
     }
-    void write(std::string_view s) const { ::send(fd.get(), s.data(), s.size(), MSG_NOSIGNAL); }
-    void fin() const { shutdown(fd.get(), SHUT_WR); }
-    void rst() { reset_on_close(fd.get()), fd.close(); }
+    void write(std::string_view bytes) const { ::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL); }
+    void send_fin() const { shutdown(fd.get(), SHUT_WR); }
+    void send_reset() {
+        reset_on_close(fd.get());
+        fd.close();
+    }
 };
 
-inline std::string port_of(int fd) {
-    sockaddr_in a{};
-    socklen_t size = sizeof a;
-    getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
-    return "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
+/// An established request: the client and the connection to its server.
+struct EstablishedRequest {
+    Peer client;
+    Peer server;
+};
+
+/// The loopback address of a bound socket.
+inline std::string address_of(int fd) {
+    sockaddr_in address{};
+    socklen_t size = sizeof address;
+    getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+    return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
 
-// A balancer that is the test's own: it hears what the others tell, and says what it likes.
-struct Datagrams {
+/// A balancer played by the test: receives the others' gossip, and sends what it likes.
+struct GossipPeer {
     FileDescriptor fd{::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
-    std::string at;
-    Datagrams() {
-        const Address a = *Address::from("127.0.0.1:0");
-        EXPECT_EQ(bind(fd.get(), reinterpret_cast<const sockaddr*>(&a.bytes), a.size), 0);
-        at = port_of(fd.get());
+    std::string address;
+    GossipPeer() {
+        const Address any = *Address::from("127.0.0.1:0");
+        EXPECT_EQ(bind(fd.get(), reinterpret_cast<const sockaddr*>(&any.bytes), any.size), 0);
+        address = address_of(fd.get());
     }
-    void say(const std::string& to, const std::string& bytes) const {
-        const Address a = *Address::from(to);
-        sendto(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&a.bytes), a.size);
+    void send_to(const std::string& receiver, const std::string& bytes) const {
+        const Address to = *Address::from(receiver);
+        sendto(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to.bytes),
+               to.size);
     }
-    std::string hear() const {
+    /// The next datagram, or "" if none has arrived.
+    std::string receive() const {
         char bytes[2048];
-        const ssize_t n = recv(fd.get(), bytes, sizeof bytes, 0);
-        return n > 0 ? std::string(bytes, size_t(n)) : std::string();
+        const ssize_t count = recv(fd.get(), bytes, sizeof bytes, 0);
+        return count > 0 ? std::string(bytes, static_cast<size_t>(count)) : std::string();
     }
 };
 
 struct Listener {
     FileDescriptor fd = listen_on(*Address::from("127.0.0.1:0"));
-    std::string at = port_of(fd.get());
-    Peer accept() const { return {FileDescriptor(::accept4(fd.get(), nullptr, nullptr, SOCK_CLOEXEC)), {}}; }
+    std::string address = address_of(fd.get());
+    /// The next connection, if one waits.
+    std::optional<Peer> try_accept() const {
+        FileDescriptor accepted(::accept4(fd.get(), nullptr, nullptr, SOCK_CLOEXEC));
+        if (!accepted) return std::nullopt;
+        return Peer{std::move(accepted), {}};
+    }
 };
 
-// Where the balancer listens: its port was free a moment ago, and on a host of this process's own nobody
-// takes it.
-inline std::string free_place() {
-    const std::string at = Listener{}.at;
+/// An address for a balancer to listen at: its port was free a moment ago, and on a host of this process's
+/// own nobody takes it.
+inline std::string unused_address() {
+    const std::string address = Listener{}.address;
     const auto host = std::to_string(getpid() >> 8 & 255) + "." + std::to_string(getpid() & 255);
-    return "127.77." + host + at.substr(at.find(':'));
+    return "127.77." + host + address.substr(address.find(':'));
 }
 
-inline Peer dial(const std::string& at) { return {connect_to(*Address::from(at)), {}}; }
+inline Peer connect_peer(const std::string& address) { return {connect_to(*Address::from(address)), {}}; }
 
-struct Loop {
+/// An event loop, and what can be expected of peers while it turns.
+struct EventLoopFixture {
     struct ev_loop* loop = ev_loop_new(0);
-    Loop() = default;
-    Loop(const Loop&) = delete;
-    Loop& operator=(const Loop&) = delete;
-    ~Loop() { ev_loop_destroy(loop); }
-    // Turns the loop until it holds, for two seconds at most.
-    bool until(const std::function<bool()>& holds) const {
+    EventLoopFixture() = default;
+    EventLoopFixture(const EventLoopFixture&) = delete;
+    EventLoopFixture& operator=(const EventLoopFixture&) = delete;
+    ~EventLoopFixture() { ev_loop_destroy(loop); }
+
+    /// Turns the loop until `holds` returns true, for two seconds at most. Returns whether it did.
+    bool run_until(const std::function<bool()>& holds) const {
         const TimePoint end = Clock::now() + seconds(2);
         bool held = holds();
-        for (; !held && Clock::now() < end; held = holds()) ev_run(loop, EVRUN_NOWAIT), usleep(500);
+        while (!held && Clock::now() < end) {
+            ev_run(loop, EVRUN_NOWAIT);
+            usleep(500);
+            held = holds();
+        }
         return held;
     }
-    void turn(double s) const {
-        const TimePoint end = Clock::now() + seconds(s);
-        until([&] { return Clock::now() >= end; });
+    /// Turns the loop for `duration`, of two seconds at most.
+    void run_for(Duration duration) const {
+        const TimePoint end = Clock::now() + duration;
+        run_until([&] { return Clock::now() >= end; });
+    }
+    /// Whether `peer` receives `text`, within two seconds.
+    testing::AssertionResult receives(Peer& peer, const std::string& text) const {
+        const bool has_text = run_until([&] {
+            peer.read();
+            return peer.received.find(text) != std::string::npos;
+        });
+        if (has_text) return testing::AssertionSuccess();
+        return testing::AssertionFailure()
+               << "received \"" << peer.received << "\", expected \"" << text << '"';
+    }
+    /// Whether the other side closes the connection of `peer`, within two seconds.
+    testing::AssertionResult sees_close(Peer& peer) const {
+        const bool is_closed = run_until([&] {
+            peer.read();
+            return peer.is_closed();
+        });
+        if (is_closed) return testing::AssertionSuccess();
+        return testing::AssertionFailure() << "still open, received \"" << peer.received << '"';
+    }
+    /// The next connection at `listener`, within two seconds.
+    Peer accept(const Listener& listener) const {
+        std::optional<Peer> peer;
+        run_until([&] {
+            peer = listener.try_accept();
+            return peer.has_value();
+        });
+        EXPECT_TRUE(peer.has_value()) << "no connection at " << listener.address;
+        return std::move(peer).value_or(Peer{});
     }
 };
--- /dev/null
+++ b/tests/proxy/test_attempt_outcomes.cpp
@@ -0,0 +1,95 @@
+/// How an attempt ends, and servers that fall silent, through a whole balancer.
+#include "proxy/balancer_fixture.h"
+
+TEST(AttemptOutcomes, AClientThatLeavesWhileWaitingEndsItsAttempt) {
+    BalancerFixture fixture;
+    Peer client = fixture.connect_client();
+    Peer server = fixture.accept_attempt();
+    client.send_fin();
+    EXPECT_TRUE(fixture.sees_close(server));
+    EXPECT_EQ(fixture.count(Counter::requests_left_by_client), 1u);
+    EXPECT_EQ(fixture.count(Counter::attempts_timed_out), 0u);
+}
+
+TEST(AttemptOutcomes, TheLastLineOrAResetDecidesTheOutcome) {
+    for (const auto& [line, expected] : {std::pair{"ERR\r\n", Counter::attempts_error},
+                                         {"SYNTAX\r\n", Counter::attempts_error},
+                                         {"BUSY\r\n", Counter::attempts_at_capacity},
+                                         {"MOVE\r\n", Counter::attempts_cancelled}}) {
+        BalancerFixture fixture;
+        Peer client = fixture.connect_client();
+        Peer server = fixture.accept_attempt();
+        server.write(line);
+        EXPECT_TRUE(
+            fixture.run_until([&fixture, counter = expected] { return fixture.count(counter) == 1; }));
+    }
+    BalancerFixture fixture;
+    Peer client = fixture.connect_client();
+    Peer server = fixture.accept_attempt();
+    server.send_reset();
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::attempts_reset) == 1; }));
+}
+
+TEST(AttemptOutcomes, AttemptsAtASilentServerTimeOutBeforeTheDeadline) {
+    BalancerFixture fixture;
+    Peer client = fixture.connect_client();
+    const TimePoint begun = Clock::now();
+    Peer server = fixture.accept_attempt();
+    EXPECT_TRUE(fixture.receives(client, "BUSY"));
+    EXPECT_EQ(fixture.count(Counter::attempts_timed_out), 2u);
+    EXPECT_LT(Clock::now() - begun, millis(950));  // in time for the client
+}
+
+TEST(AttemptOutcomes, ARefusedConnectCountsAsConnectFailed) {
+    Listener gone;
+    gone.fd.close();
+    BalancerFixture fixture({.server_address = gone.address});
+    Peer client = fixture.connect_client();
+    EXPECT_TRUE(fixture.receives(client, "BUSY"));
+    EXPECT_EQ(fixture.count(Counter::attempts_connect_failed), 2u);
+}
+
+TEST(AttemptOutcomes, TheClientOfASilentServerIsMigrated) {
+    BalancerFixture fixture;
+    auto [client, server] = fixture.establish();
+    client.write("anyone?\r\n");
+    fixture.run_for(seconds(1.2));
+    client.read();
+    EXPECT_TRUE(client.received.empty());
+    EXPECT_TRUE(fixture.receives(client, "MOVE\r\n"));
+    EXPECT_TRUE(fixture.sees_close(client));
+    EXPECT_TRUE(client.saw_fin);
+    EXPECT_EQ(fixture.count(Counter::servers_silent), 1u);
+}
+
+// Each connection alone would be detected 1.5 s after its own client's next line.
+TEST(AttemptOutcomes, AServerSilentOnAllItsConnectionsIsDetectedSooner) {
+    BalancerFixture fixture;
+    auto [first_client, first_server] = fixture.establish();
+    auto [second_client, second_server] = fixture.establish();
+    auto [third_client, third_server] = fixture.establish();
+    const TimePoint begun = Clock::now();
+    first_client.write("a\r\n");
+    second_client.write("b\r\n");
+    for (int k = 0; k < 10; ++k) {
+        fixture.run_for(seconds(0.1));
+        third_server.write("busy, but there\r\n");
+    }
+    first_client.read();
+    second_client.read();
+    EXPECT_TRUE(first_client.received.empty());
+    EXPECT_TRUE(second_client.received.empty());
+    for (Peer* client : {&first_client, &second_client})
+        EXPECT_TRUE(fixture.receives(*client, "MOVE\r\n"));  // each silent for too long by itself
+    EXPECT_GT(Clock::now() - begun, seconds(1.4));
+    auto [fourth_client, fourth_server] = fixture.establish();
+    fixture.run_for(seconds(0.1));
+    const TimePoint quiet_from = Clock::now();
+    third_client.write("c\r\n");
+    fourth_client.write("d\r\n");
+    auto [fifth_client, fifth_server] = fixture.establish();  // is established while the others are silent
+    for (Peer* client : {&third_client, &fourth_client, &fifth_client})
+        EXPECT_TRUE(fixture.receives(*client, "MOVE\r\n"));
+    EXPECT_LT(Clock::now() - quiet_from, seconds(1.2));
+    EXPECT_EQ(fixture.count(Counter::servers_silent), 5u);
+}
--- a/tests/proxy/test_balancer_parts.cpp
+++ b/tests/proxy/test_balancer_parts.cpp
@@ -1,4 +1,4 @@
-// The parts that Balancer composes, each alone.
+/// The parts that Balancer composes, each alone.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST(TimerService, RunsWhatIsDueInOrderAndNothingBeforeItsStart) {
+TEST(TimerService, FiresDueTimersInOrderAndNoneBeforeItsStart) {
     const OwnedLoop loop(ev_loop_new(EVFLAG_AUTO));
     std::vector<uint64_t> run;
     TimerService timers(loop.get(), [&](uint64_t token) { run.push_back(token); });
@@ -57,7 +57,7 @@
     EXPECT_EQ(run, (std::vector<uint64_t>{1, 2, 4}));
 }
 
-TEST(TimerService, ATimerThatACallbackSetsIsForALaterTurn) {
+TEST(TimerService, ATimerSetByACallbackFiresInALaterTurn) {
     const OwnedLoop loop(ev_loop_new(EVFLAG_AUTO));
     int runs = 0;
     TimerService* self = nullptr;
@@ -74,7 +74,7 @@
     EXPECT_EQ(runs, 2);
 }
 
-TEST(ResourceLimits, WhatThePreviousProcessHoldsCountsAgainstTheLimit) {
+TEST(ResourceLimits, DescriptorsOfThePreviousProcessCountAgainstTheLimit) {
     BootstrapConfig config;
     const int needed = ResourceLimits::descriptors_per_request + ResourceLimits::reserved_descriptors;
     config.max_descriptors = FileDescriptor::open_count() + needed + 1;
@@ -89,7 +89,7 @@
     EXPECT_FALSE(limits.shortage());
 }
 
-TEST(ConfigReload, WhatCannotTakeTheRunningOnesPlaceIsNamed) {
+TEST(ConfigReload, ConflictsWithTheRunningConfigurationAreNamed) {
     const BootstrapConfig running = usable_config();
     EXPECT_EQ(refusal(running, running), "");
     BootstrapConfig next = running;
@@ -106,7 +106,7 @@
     EXPECT_NE(refusal(with_gossip, next).find("'slotNo'"), std::string::npos);
 }
 
-TEST(ConfigReload, NameAndAddressesStay) {
+TEST(ConfigReload, KeepsTheNameAndTheAddresses) {
     const BootstrapConfig running = usable_config();
     BootstrapConfig next = running;
     next.max_descriptors = 7;
--- a/tests/proxy/test_connection_ends.cpp
+++ b/tests/proxy/test_connection_ends.cpp
@@ -1,260 +1,285 @@
-// Whatever ends, at the instant that hurts most: docs/endings.md names the rows.
+/// Connections that end at the worst instant; the rows are those of docs/endings.md.
 #include <functional>
 
 #include "policy_helpers.h"
+#include "proxy/balancer_fixture.h"
 #include "proxy/socket_peers.h"
-#include "proxy/test_network.h"
 #include "transport/lingering_closer.h"
 
-// One turn of the loop and no more: what comes next is the test's to order. epoll tells of what has become
-// ready in its order and libev deals with it from the last to the first, so that here the connection to the
-// server is told of before the client that left earlier.
-static void one_turn(TestNetwork& w) { ev_run(w.loop, EVRUN_NOWAIT); }
+/// One turn of the loop, so that the test orders what comes next. epoll reports events in the order in which
+/// they became ready and libev handles them from the last to the first: here the connection to the server
+/// comes before the client that left earlier.
+static void turn_once(BalancerFixture& fixture) { ev_run(fixture.loop, EVRUN_NOWAIT); }
 
-static void opens_a_leg(TestNetwork& w) {
-    for (int k = 0; k < 2000 && w.count(Counter::attempts_started) == 0; ++k) one_turn(w), usleep(200);
-    EXPECT_EQ(w.count(Counter::attempts_started), 1u);
+static void wait_for_attempts(BalancerFixture& fixture, uint64_t count) {
+    for (int turns = 0; turns < 2000 && fixture.count(Counter::attempts_started) < count; ++turns) {
+        turn_once(fixture);
+        usleep(200);
+    }
 }
 
-// Nothing of the request reaches the server, and the request is over.
-static void nothing_is_sent(TestNetwork& w) {
-    EXPECT_TRUE(w.until(
-        [&] { return w.count(Counter::requests_left_by_client) + w.count(Counter::requests_failed) == 1; }));
-    w.turn(0.05);
-    for (Peer s; s = w.server.accept(), s.fd;) {
-        w.ends(s);
-        EXPECT_TRUE(s.got.empty());
+/// Expects that the request is over and that nothing of it reached the server.
+static void expect_not_forwarded(BalancerFixture& fixture) {
+    EXPECT_TRUE(fixture.run_until([&] {
+        return fixture.count(Counter::requests_left_by_client) + fixture.count(Counter::requests_failed) == 1;
+    }));
+    fixture.run_for(seconds(0.05));
+    while (std::optional<Peer> server = fixture.server_listener.try_accept()) {
+        fixture.sees_close(*server);
+        EXPECT_TRUE(server->received.empty());
     }
-    EXPECT_EQ(w.count(Counter::requests_established), 0u);
-    EXPECT_EQ(w.count(Counter::broken_invariants), 0u);
+    EXPECT_EQ(fixture.count(Counter::requests_established), 0u);
+    EXPECT_EQ(fixture.count(Counter::broken_invariants), 0u);
 }
 
-using Leaves = std::function<void(Peer&)>;
-static const Leaves ways[] = {[](Peer& c) { c.fin(); }, [](Peer& c) { c.rst(); },
-                              [](Peer& c) { c.write("more\r\n"), c.fin(); },
-                              [](Peer& c) { c.write("more\r\n"), c.rst(); }};
+/// How a client leaves.
+struct WayToLeave {
+    std::string last_bytes;
+    bool is_reset;
+
+    void leave(Peer& client) const {
+        if (!last_bytes.empty()) client.write(last_bytes);
+        if (is_reset)
+            client.send_reset();
+        else
+            client.send_fin();
+    }
+};
+static const WayToLeave ways_to_leave[] = {{"", false}, {"", true}, {"more\r\n", false}, {"more\r\n", true}};
 
-// The process stands still while the connection to the server comes up and the client goes.
-TEST(ConnectionEnds, AClientThatLeftIsNotSentOnWhenItsConnectionComesUp) {
-    for (const Leaves& leave : ways) {
-        TestNetwork w;
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        Peer c = w.client();
-        opens_a_leg(w);
-        leave(c);
+// The loop does not turn while the connection to the server comes up and the client leaves.
+TEST(ConnectionEnds, DoesNotForwardAClientThatLeftWhileItsAttemptConnected) {
+    for (const WayToLeave& way : ways_to_leave) {
+        BalancerFixture fixture;
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        Peer client = fixture.connect_client();
+        wait_for_attempts(fixture, 1);
+        EXPECT_EQ(fixture.count(Counter::attempts_started), 1u);
+        way.leave(client);
         usleep(20'000);
-        nothing_is_sent(w);
+        expect_not_forwarded(fixture);
     }
 }
 
-// All of it before the balancer takes the connection: the line is read, and the end behind it counts.
-TEST(ConnectionEnds, AClientThatLeftInTheListenersQueueIsNotSentOn) {
-    for (const Leaves& leave : ways) {
-        TestNetwork w;
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        Peer c = w.client();
-        EXPECT_EQ(w.count(Counter::connections_accepted), 0u);
+// All of it before the balancer accepts the connection: the line is read, and so is the end behind it.
+TEST(ConnectionEnds, DoesNotForwardAClientThatLeftInTheListenerQueue) {
+    for (const WayToLeave& way : ways_to_leave) {
+        BalancerFixture fixture;
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        Peer client = fixture.connect_client();
+        EXPECT_EQ(fixture.count(Counter::connections_accepted), 0u);
         usleep(20'000);
-        leave(c);
+        way.leave(client);
         usleep(20'000);
-        for (int k = 0; k < 20; ++k) one_turn(w);
-        w.turn(0.05);
-        for (Peer s; s = w.server.accept(), s.fd;) EXPECT_TRUE(w.ends(s) && s.got.empty());
-        EXPECT_EQ(w.count(Counter::requests_established), 0u);
-        EXPECT_EQ(w.balancer->counters()[Counter::broken_invariants], 0);
+        for (int k = 0; k < 20; ++k) turn_once(fixture);
+        fixture.run_for(seconds(0.05));
+        while (std::optional<Peer> server = fixture.server_listener.try_accept()) {
+            EXPECT_TRUE(fixture.sees_close(*server));
+            EXPECT_TRUE(server->received.empty());
+        }
+        EXPECT_EQ(fixture.count(Counter::requests_established), 0u);
+        EXPECT_EQ(fixture.balancer->counters()[Counter::broken_invariants], 0);
     }
 }
 
-// Its server has just turned it away, and the client has gone: there is no second attempt with a byte in it.
-TEST(ConnectionEnds, AClientThatLeftBetweenTwoLegsIsNotSentOn) {
-    for (const Leaves& leave : ways) {
-        TestNetwork w;
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        w.lists(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + w.server.at +
-                R"(","lifecycle":"SERVING"},{"instanceId":"t","hostPort":")" + w.server.at +
-                R"(","lifecycle":"SERVING"}]})");
-        EXPECT_TRUE(w.until([&] { return w.count(Counter::endpoint_updates) == 1; }));
-        Peer c = w.client(), s = w.taken();
-        s.write("BUSY\r\n");
-        for (int k = 0; k < 2000 && w.count(Counter::attempts_started) < 2; ++k) one_turn(w), usleep(200);
-        EXPECT_EQ(w.count(Counter::attempts_started), 2u);
-        leave(c);
+// Its server has just rejected it, and the client has gone: the retry sends no byte.
+TEST(ConnectionEnds, DoesNotForwardAClientThatLeftBetweenTwoAttempts) {
+    for (const WayToLeave& way : ways_to_leave) {
+        BalancerFixture fixture;
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
+                               fixture.server_listener.address +
+                               R"(","lifecycle":"SERVING"},{"instanceId":"t","hostPort":")" +
+                               fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 1; }));
+        Peer client = fixture.connect_client();
+        Peer server = fixture.accept_attempt();
+        server.write("BUSY\r\n");
+        wait_for_attempts(fixture, 2);
+        EXPECT_EQ(fixture.count(Counter::attempts_started), 2u);
+        way.leave(client);
         usleep(20'000);
-        nothing_is_sent(w);
+        expect_not_forwarded(fixture);
     }
 }
 
-// No server takes anything new, so the module lets it wait; when one does again, the client has gone.
-TEST(ConnectionEnds, AClientThatLeftWhileItWasHeldIsNotSentOn) {
-    for (const Leaves& leave : ways) {
-        TestNetwork w;
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        w.lists(R"({"generation":5,"reset":true,"instances":[]})");
-        EXPECT_TRUE(w.until([&] { return w.count(Counter::endpoint_updates) == 1; }));
-        Peer c = w.client();
-        EXPECT_TRUE(w.until([&] { return w.count(Counter::requests_accepted) == 1; }));
-        for (int k = 0; k < 20; ++k) one_turn(w);
-        EXPECT_EQ(w.count(Counter::attempts_started), 0u);
-        leave(c);
+// The request is queued, as there is no server; when there is one again, the client has gone.
+TEST(ConnectionEnds, DoesNotForwardAClientThatLeftWhileItWasQueued) {
+    for (const WayToLeave& way : ways_to_leave) {
+        BalancerFixture fixture;
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[]})");
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 1; }));
+        Peer client = fixture.connect_client();
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::requests_accepted) == 1; }));
+        for (int k = 0; k < 20; ++k) turn_once(fixture);
+        EXPECT_EQ(fixture.count(Counter::attempts_started), 0u);
+        way.leave(client);
         usleep(20'000);
-        w.lists(R"({"generation":6,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + w.server.at +
-                R"(","lifecycle":"SERVING"}]})");
-        nothing_is_sent(w);
-        EXPECT_TRUE(w.until([&] { return w.count(Counter::endpoint_updates) == 2; }));
-        w.turn(0.1);
-        EXPECT_EQ(w.count(Counter::attempts_started), 0u);
+        fixture.send_endpoints(R"({"generation":6,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
+                               fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
+        expect_not_forwarded(fixture);
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 2; }));
+        fixture.run_for(seconds(0.1));
+        EXPECT_EQ(fixture.count(Counter::attempts_started), 0u);
     }
 }
 
-// Who ends its sending only still gets a line: BUSY where asking again is harmless.
-TEST(ConnectionEnds, AClientThatEndsItsSendingOnlyGetsItsAnswer) {
-    TestNetwork w;
-    Peer c = w.client(), s = w.taken();
-    c.fin();
-    EXPECT_TRUE(w.ends(s));
-    EXPECT_TRUE(w.says(c, "BUSY\r\n"));
-    EXPECT_TRUE(w.ends(c));
-    EXPECT_TRUE(c.ended);
-    EXPECT_EQ(w.count(Counter::requests_left_by_client), 1u);
+// BUSY, as its request is idempotent.
+TEST(ConnectionEnds, AnswersAClientThatHasOnlyClosedItsSendingSide) {
+    BalancerFixture fixture;
+    Peer client = fixture.connect_client();
+    Peer server = fixture.accept_attempt();
+    client.send_fin();
+    EXPECT_TRUE(fixture.sees_close(server));
+    EXPECT_TRUE(fixture.receives(client, "BUSY\r\n"));
+    EXPECT_TRUE(fixture.sees_close(client));
+    EXPECT_TRUE(client.saw_fin);
+    EXPECT_EQ(fixture.count(Counter::requests_left_by_client), 1u);
 }
 
-// A watch that falls silent, and an agent that was down and is back, both with kernel-made connects that
-// hang: the news is there in time for half a second of grace after it counts.
-TEST(ConnectionEnds, WhatTheAgentHasIsKnownWithinHalfASecondOfItsReturn) {
-    TestNetwork w;
-    EXPECT_TRUE(w.says(w.discovery, "GET /v1/servers HTTP/1.1"));
-    w.lists(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + w.server.at +
-            R"(","lifecycle":"SERVING"}]})");
-    EXPECT_TRUE(w.says(w.discovery, "since=5"));
-    const TimePoint silent = Clock::now();
-    Peer down = w.next(w.agent);  // silent: broken and opened anew
-    EXPECT_LT(Clock::now() - silent, seconds(1.1));
-    while (Clock::now() - silent < seconds(3)) {  // an outage: every request is taken and gets no answer
-        Peer p = w.agent.accept();
-        w.turn(0.01);
-        if (p.fd) down = std::move(p);
+// A watch that falls silent, then an outage of discovery in which connects succeed and nothing is answered.
+TEST(ConnectionEnds, KnowsTheEndpointListHalfASecondAfterDiscoveryIsBack) {
+    BalancerFixture fixture;
+    EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers HTTP/1.1"));
+    fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
+                           fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
+    EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));
+    const TimePoint silent_from = Clock::now();
+    Peer unanswered = fixture.accept(fixture.discovery_listener);  // the silent watch is opened anew
+    EXPECT_LT(Clock::now() - silent_from, seconds(1.1));
+    while (Clock::now() - silent_from < seconds(3)) {
+        std::optional<Peer> next = fixture.discovery_listener.try_accept();
+        fixture.run_for(seconds(0.01));
+        if (next) unanswered = std::move(*next);
     }
-    const TimePoint back = Clock::now();
-    w.discovery = w.next(w.agent);
-    EXPECT_TRUE(w.says(w.discovery, "since=5"));
-    w.lists(R"({"generation":6,"reset":false,"instances":[{"instanceId":"s","hostPort":")" + w.server.at +
-            R"(","lifecycle":"DRAINING"}]})");
-    EXPECT_TRUE(w.until([&] { return w.count(Counter::endpoint_updates) == 2; }));
-    EXPECT_LT(Clock::now() - back, seconds(0.5));
+    const TimePoint back_at = Clock::now();
+    fixture.discovery = fixture.accept(fixture.discovery_listener);
+    EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));
+    fixture.send_endpoints(R"({"generation":6,"reset":false,"instances":[{"instanceId":"s","hostPort":")" +
+                           fixture.server_listener.address + R"(","lifecycle":"DRAINING"}]})");
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 2; }));
+    EXPECT_LT(Clock::now() - back_at, seconds(0.5));
 }
 
-// An answer stands with the kernel behind what its client, who reads late, has not taken yet, and bytes of
-// the client are unread: room is made, and all of it arrives the same.
-TEST(ConnectionEnds, AnAnswerOutlivesItsLingeringClose) {
-    Loop l;
+// Guards against an answer that is lost when the connection is evicted while its client reads late and bytes
+// of the client are unread.
+TEST(ConnectionEnds, AnAnswerArrivesThoughItsLingeringConnectionIsEvicted) {
+    EventLoopFixture fixture;
     Listener listener;
-    Peer near = {FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), {}};
-    const int narrow = 4096;
-    setsockopt(near.fd.get(), SOL_SOCKET, SO_RCVBUF, &narrow, sizeof narrow);
-    const Address at = *Address::from(listener.at);
-    (void)connect(near.fd.get(), reinterpret_cast<const sockaddr*>(&at.bytes), at.size);
-    FileDescriptor far = std::move(listener.accept().fd);
-    fcntl(far.get(), F_SETFL, O_NONBLOCK);
-    struct Nobody : LineConnection::Owner {
+    Peer client = {FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), {}};
+    const int small_buffer = 4096;
+    setsockopt(client.fd.get(), SOL_SOCKET, SO_RCVBUF, &small_buffer, sizeof small_buffer);
+    const Address address = *Address::from(listener.address);
+    (void)connect(client.fd.get(), reinterpret_cast<const sockaddr*>(&address.bytes), address.size);
+    std::optional<Peer> accepted = listener.try_accept();
+    ASSERT_TRUE(accepted);
+    fcntl(accepted->fd.get(), F_SETFL, O_NONBLOCK);
+    struct IgnoringOwner : LineConnection::Owner {
         void on_bytes(LineConnection&, std::string_view, bool) override {}
         void on_closed(LineConnection&, CloseReason) override {}
-    } nobody;
-    auto conn = std::make_unique<LineConnection>(l.loop, std::move(far), nobody, 1);
-    conn->start();
+    } owner;
+    auto connection = std::make_unique<LineConnection>(fixture.loop, std::move(accepted->fd), owner, 1);
+    connection->start();
     const std::string last = std::string(60'000, 'y') + "\r\nERR\r\n";
-    conn->send(last);
-    conn->finish();
-    EXPECT_EQ(conn->unsent_bytes(), 0);
-    near.write(std::string(100'000, 'x'));
+    connection->send(last);
+    connection->finish();
+    EXPECT_EQ(connection->unsent_bytes(), 0);
+    client.write(std::string(100'000, 'x'));
     usleep(20'000);
-    LingeringCloser lingering_closer(l.loop);
-    lingering_closer.add(std::move(conn));
+    LingeringCloser lingering_closer(fixture.loop);
+    lingering_closer.add(std::move(connection));
     EXPECT_TRUE(lingering_closer.evict_oldest());
     EXPECT_FALSE(lingering_closer.evict_oldest());
-    EXPECT_TRUE(l.until([&] { return near.read(), near.ended || near.broke; }));
-    EXPECT_EQ(near.got, last);
-    EXPECT_TRUE(near.ended);
+    EXPECT_TRUE(fixture.sees_close(client));
+    EXPECT_EQ(client.received, last);
+    EXPECT_TRUE(client.saw_fin);
 }
 
-// A prober's call lies unread when its connection is the oldest silent one and others crowd in: heard, not
-// cut. A prober that is sent away is told so, as a request of its own may be on the way.
-TEST(ConnectionEnds, AProberThatGoesOnWithACallIsHeardOrAnswered) {
-    TestNetwork w(FileDescriptor::open_count() + 400);
-    std::vector<Peer> probers, crowd;
+// A request that is still unread when its connection is the oldest silent one and others come is read, not
+// evicted. An evicted prober is answered BUSY, as a request of its own may be on the way.
+TEST(ConnectionEnds, AProberThatGoesOnWithARequestIsServedOrAnswered) {
+    BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 400});
+    std::vector<Peer> probers;
+    std::vector<Peer> others;
     for (int k = 0; k < 50; ++k) {
-        probers.push_back(dial(w.boot.listen));
+        probers.push_back(connect_peer(fixture.config.listen));
         probers.back().write("PING\r\n");
-        one_turn(w);
+        turn_once(fixture);
     }
-    for (Peer& p : probers) EXPECT_TRUE(w.says(p, "PONG\r\n"));
-    w.turn(0.15);
-    probers[0].write(w.opening("c=chat,d=900"));  // the loop stands still here, and the others come
+    for (Peer& peer : probers) EXPECT_TRUE(fixture.receives(peer, "PONG\r\n"));
+    fixture.run_for(seconds(0.15));
+    // The loop does not turn while this and the others arrive.
+    probers[0].write(fixture.make_request_line("c=chat,d=900"));
     usleep(5'000);
-    for (int k = 0; k < 30; ++k) crowd.push_back(dial(w.boot.listen));
+    for (int k = 0; k < 30; ++k) others.push_back(connect_peer(fixture.config.listen));
     usleep(5'000);
-    Peer s = w.taken();
-    s.write("UP r\r\n");
-    EXPECT_TRUE(w.says(probers[0], "UP r\r\n"));
-    EXPECT_GT(w.count(Counter::clients_cut), 0u);
+    Peer server = fixture.accept_attempt();
+    server.write("UP r\r\n");
+    EXPECT_TRUE(fixture.receives(probers[0], "UP r\r\n"));
+    EXPECT_GT(fixture.count(Counter::clients_cut), 0u);
     for (size_t k = 1; k < probers.size(); ++k) {
         probers[k].read();
-        if (probers[k].ended) {
-            EXPECT_EQ(probers[k].got, "PONG\r\nBUSY\r\n");
+        if (probers[k].saw_fin) {
+            EXPECT_EQ(probers[k].received, "PONG\r\nBUSY\r\n");
         }
     }
 }
 
-// One service for all that has turned this balancer away for six seconds, while others may have heard of a
-// drain: nothing is sent on until the list has come, also what was read before. A silent one stops nobody.
-TEST(ConnectionEnds, AListThatMayHaveChangedSixSecondsAgoSendsNobodyOn) {
-    for (const bool turns_away : {true, false}) {
-        TestNetwork w(1024, "", "ask");
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
+// A shared discovery has rejected this balancer for six seconds, while others may know that a server drains.
+// A discovery that does not answer at all stops nothing.
+TEST(ConnectionEnds, DoesNotForwardWhileARejectingDiscoveryMayHaveANewerList) {
+    for (const bool rejects : {true, false}) {
+        BalancerFixture fixture({.discovery_mode = "ask"});
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
         const std::string list =
-            R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + w.server.at +
-            R"(","lifecycle":"SERVING"}]})";
-        EXPECT_TRUE(w.says(w.discovery, "GET /v1/servers"));
-        w.lists(list);
-        EXPECT_TRUE(w.until([&] { return w.count(Counter::endpoint_updates) == 1; }));
-        const TimePoint told = Clock::now();
-        std::vector<Peer> asked;
-        asked.push_back(std::move(w.discovery));
+            R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
+            fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})";
+        EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers"));
+        fixture.send_endpoints(list);
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 1; }));
+        const TimePoint list_received_at = Clock::now();
+        std::vector<Peer> polls;
+        polls.push_back(std::move(fixture.discovery));
         bool answers = false;
-        const auto serve_list = [&] {
-            if (Peer p = w.agent.accept(); p.fd) asked.push_back(std::move(p));
-            for (Peer& p : asked) {
-                p.read();
-                if (p.got.find("\r\n\r\n") == std::string::npos) continue;
-                p.got.clear();
+        const auto answer_polls = [&] {
+            if (std::optional<Peer> poll = fixture.discovery_listener.try_accept())
+                polls.push_back(std::move(*poll));
+            for (Peer& peer : polls) {
+                peer.read();
+                if (peer.received.find("\r\n\r\n") == std::string::npos) continue;
+                peer.received.clear();
                 if (answers)
-                    p.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" +
-                            list);
-                else if (turns_away)
-                    p.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                    peer.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) +
+                               "\r\n\r\n" + list);
+                else if (rejects)
+                    peer.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             }
-            w.turn(0.01);
+            fixture.run_for(seconds(0.01));
         };
-        while (Clock::now() - told < seconds(5.5)) serve_list();
-        Peer early = w.client(), server = w.taken();
+        while (Clock::now() - list_received_at < seconds(5.5)) answer_polls();
+        Peer early = fixture.connect_client();
+        Peer server = fixture.accept_attempt();
         server.write("UP r\r\n");
-        EXPECT_TRUE(w.says(early, "UP r\r\n"));
-        while (Clock::now() - told < seconds(6.1)) serve_list();
-        Peer late = w.client();
-        if (!turns_away) {
-            Peer next = w.taken();
+        EXPECT_TRUE(fixture.receives(early, "UP r\r\n"));
+        while (Clock::now() - list_received_at < seconds(6.1)) answer_polls();
+        Peer late = fixture.connect_client();
+        if (!rejects) {
+            Peer next = fixture.accept_attempt();
             continue;
         }
-        EXPECT_TRUE(w.says(late, "BUSY"));
-        EXPECT_TRUE(w.ends(late));
-        EXPECT_EQ(w.count(Counter::refused_for_outdated_list), 1u);
-        EXPECT_EQ(w.count(Counter::attempts_started), 1u);
-        early.write("still here\r\n");  // who stands stays
-        EXPECT_TRUE(w.says(server, "still here\r\n"));
-        server.write("heard\r\n");  // a server that says nothing would be left for that
+        EXPECT_TRUE(fixture.receives(late, "BUSY"));
+        EXPECT_TRUE(fixture.sees_close(late));
+        EXPECT_EQ(fixture.count(Counter::refused_for_outdated_list), 1u);
+        EXPECT_EQ(fixture.count(Counter::attempts_started), 1u);
+        early.write("still here\r\n");  // established requests stay
+        EXPECT_TRUE(fixture.receives(server, "still here\r\n"));
+        server.write("heard\r\n");  // or it would count as silent
         answers = true;
-        while (w.count(Counter::endpoint_updates) < 2 && Clock::now() - told < seconds(40)) serve_list();
-        EXPECT_EQ(w.count(Counter::endpoint_updates), 2u);
-        Peer is_reconnect = w.client();
-        Peer next = w.taken();
+        while (fixture.count(Counter::endpoint_updates) < 2 && Clock::now() - list_received_at < seconds(40))
+            answer_polls();
+        EXPECT_EQ(fixture.count(Counter::endpoint_updates), 2u);
+        Peer after = fixture.connect_client();
+        Peer next = fixture.accept_attempt();
     }
 }
--- a/tests/proxy/test_gossip_socket.cpp
+++ b/tests/proxy/test_gossip_socket.cpp
@@ -1,4 +1,4 @@
-// What balancers tell one another, over datagrams on loopback; and the configurations that mix two shapes.
+/// Gossip between balancers over datagrams on loopback, and the configurations that allow it.
 #include <iostream>  // its streams must be there before the cases run
 #include <sstream>
 
@@ -11,234 +11,269 @@
 
 std::string peers_json(const std::string& own, const std::vector<std::string>& all) {
     std::string list;
-    for (const std::string& a : all) list += (list.empty() ? "\"" : ",\"") + a + "\"";
+    for (const std::string& address : all) list += (list.empty() ? "\"" : ",\"") + address + "\"";
     return R"("peers":{"own":")" + own + R"(","all":[)" + list + "]},";
 }
 
-std::string settings(const std::string& numbers, bool allowed, const std::string& cold = "") {
+std::string settings_json(const std::string& numbers, bool is_gossip_allowed, const std::string& cold = "") {
     return numbers + R"("invariants":{"coldNs":0)" + cold + R"(},"ceilings":{"maxLegs":2,"peers":)" +
-           (allowed ? "true" : "false") + R"(,"dialTimeoutNs":150000000},)";
+           (is_gossip_allowed ? "true" : "false") + R"(,"dialTimeoutNs":150000000},)";
 }
 
-std::string config(const std::string& peers, const std::string& told, const std::string& listen = "1.2.3.4:5",
-                   const std::string& discovery = "1.2.3.4:6", const std::string& server = "1.2.3.4:7") {
+std::string config_json(const std::string& peers, const std::string& settings,
+                        const std::string& listen = "1.2.3.4:5", const std::string& discovery = "1.2.3.4:6",
+                        const std::string& server = "1.2.3.4:7") {
     return R"({"name":"n","listen":")" + listen + R"(","discovery":")" + discovery +
            R"(","seed":"8c1f30d27a5be964",)" + peers +
            R"("known":{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":")" + server +
-           R"(","zone":"a","lifecycle":"SERVING","weight":1,"startedAtMs":0}]},"settings":{)" + told +
+           R"(","zone":"a","lifecycle":"SERVING","weight":1,"startedAtMs":0}]},"settings":{)" + settings +
            R"("discovery":"push","failureDomains":["a"],"realms":[],"domain":{"groups":true},"trafficTypes":[{
            "name":"chat","effect":"pure","setupTargetNs":800000000,"guardTimeNs":1000000000}]}})";
 }
 
-template <class Does>
-std::string refusal(Does does) {
+/// The message of the error that `function` throws; "" if it throws none.
+template <class Function>
+std::string error_message(Function function) {
     try {
-        return does(), "";
-    } catch (const ParseError& fault) {
-        return fault.what();
+        function();
+        return "";
+    } catch (const ParseError& error) {
+        return error.what();
     }
 }
 
-std::string fault_of(const std::string& peers, const std::string& told) {
-    return refusal([&] { (void)parse_bootstrap_config(config(peers, told), Clock()); });
+std::string config_error(const std::string& peers, const std::string& settings) {
+    return error_message([&] { (void)parse_bootstrap_config(config_json(peers, settings), Clock()); });
 }
 
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+    return text.find(part) != std::string::npos;
+}
 
-// Two balancers and a third that the test plays, one server and a list for each.
-struct Three : Loop {
-    Datagrams third;
-    std::string at[2] = {Datagrams().at, Datagrams().at}, listen[2] = {free_place(), free_place()};
-    Listener server, agent;
-    std::ostringstream said;
-    Log log{said, LogLevel::debug};
+/// Two balancers and a third replica that the test plays, with one server and one discovery for all.
+struct GossipFixture : EventLoopFixture {
+    GossipPeer third;
+    std::string gossip_address[2] = {GossipPeer().address, GossipPeer().address};
+    std::string listen_address[2] = {unused_address(), unused_address()};
+    Listener server_listener;
+    Listener discovery_listener;
+    std::ostringstream log_text;
+    Log log{log_text, LogLevel::debug};
     Clock clock;
     std::unique_ptr<Balancer> balancers[2];
     uint64_t last_id = 1'000'000'000'000'000;
 
-    BootstrapConfig boot(int k) {
-        const std::string numbers = R"("groupSize":3,"slotNo":)" + std::to_string(k) + ",";
-        return parse_bootstrap_config(config(peers_json(at[k], {at[0], at[1], third.at}),
-                                             settings(numbers, true), listen[k], agent.at, server.at),
-                                      clock);
-    }
-    Three() {
+    GossipFixture() {
         for (int k = 0; k < 2; ++k) {
-            balancers[k] = std::make_unique<Balancer>(loop, boot(k), clock, log);
+            balancers[k] = std::make_unique<Balancer>(loop, make_config(k), clock, log);
             balancers[k]->start();
         }
     }
-    Three(const Three&) = delete;
-    Three& operator=(const Three&) = delete;
-    ~Three() {
-        for (auto& b : balancers) b.reset();
+    GossipFixture(const GossipFixture&) = delete;
+    GossipFixture& operator=(const GossipFixture&) = delete;
+    ~GossipFixture() {
+        for (auto& balancer : balancers) balancer.reset();
     }
-    uint64_t count(int k, Counter c) { return balancers[k]->counters()[c]; }
-    // A client is served: its line reaches the server, whose UP comes back.
-    std::pair<Peer, Peer> served(int k) {
-        Peer c = dial(listen[k]), s;
-        c.write("OPEN " + std::to_string(++last_id) + " 2b c=chat,d=900,g=q\r\n");
-        EXPECT_TRUE(until([&] { return s = server.accept(), bool(s.fd); }));
-        EXPECT_TRUE(until([&] { return s.read(), s.got.find("\r\n") != std::string::npos; }));
-        s.write("UP r\r\n");
-        EXPECT_TRUE(until([&] { return c.read(), c.got == "UP r\r\n"; }));
-        return {std::move(c), std::move(s)};
+
+    BootstrapConfig make_config(int k) {
+        const std::string numbers = R"("groupSize":3,"slotNo":)" + std::to_string(k) + ",";
+        const std::string peers =
+            peers_json(gossip_address[k], {gossip_address[0], gossip_address[1], third.address});
+        return parse_bootstrap_config(config_json(peers, settings_json(numbers, true), listen_address[k],
+                                                  discovery_listener.address, server_listener.address),
+                                      clock);
+    }
+    uint64_t count(int k, Counter counter) { return balancers[k]->counters()[counter]; }
+    /// Expects that balancer `k` serves a client.
+    EstablishedRequest establish(int k) {
+        Peer client = connect_peer(listen_address[k]);
+        client.write("OPEN " + std::to_string(++last_id) + " 2b c=chat,d=900,g=q\r\n");
+        Peer server = accept(server_listener);
+        EXPECT_TRUE(receives(server, "\r\n"));
+        server.write("UP r\r\n");
+        EXPECT_TRUE(receives(client, "UP r\r\n"));
+        EXPECT_EQ(client.received, "UP r\r\n");
+        return {std::move(client), std::move(server)};
     }
 };
 
 }  // namespace
 
-// The one whose turn it is hears the others' counts; then it is another's turn, who tells the sum.
-TEST(GossipSocket, OnesCountsReachTheOthers) {
-    Three w;
-    const auto first = w.served(0), second = w.served(1), third = w.served(1);
-    bool counted = false, summed = false;
-    for (const TimePoint end = Clock::now() + seconds(17); !(counted && summed) && Clock::now() < end;) {
-        w.turn(0.02);
-        for (std::string bytes; !(bytes = w.third.hear()).empty();) {
-            const auto told = gossip::parse_message(bytes);
-            ASSERT_TRUE(told);
-            if (told->kind == gossip::MessageKind::round_counts)
-                counted = counted || (told->total_load >= 1 && told->loads.size() == 1 &&
-                                      told->loads[0].server == gossip::ShortServerIds::short_id_of("s"));
-            if (told->kind == gossip::MessageKind::round_sum && told->reporter_count == 2)
-                summed = summed || told->total_load >= 2;
+TEST(GossipSocket, RoundCountsAndSumsReachTheOtherReplicas) {
+    GossipFixture fixture;
+    const EstablishedRequest first = fixture.establish(0);
+    const EstablishedRequest second = fixture.establish(1);
+    const EstablishedRequest third = fixture.establish(1);
+    bool has_counts = false;
+    bool has_sum = false;
+    const TimePoint end = Clock::now() + seconds(17);
+    while (!(has_counts && has_sum) && Clock::now() < end) {
+        fixture.run_for(millis(20));
+        std::string bytes = fixture.third.receive();
+        while (!bytes.empty()) {
+            const auto message = gossip::parse_message(bytes);
+            ASSERT_TRUE(message);
+            if (message->kind == gossip::MessageKind::round_counts && message->total_load >= 1 &&
+                message->loads.size() == 1 &&
+                message->loads[0].server == gossip::ShortServerIds::short_id_of("s"))
+                has_counts = true;
+            if (message->kind == gossip::MessageKind::round_sum && message->reporter_count == 2 &&
+                message->total_load >= 2)
+                has_sum = true;
+            bytes = fixture.third.receive();
         }
     }
-    EXPECT_TRUE(counted);
-    EXPECT_TRUE(summed);
-    EXPECT_GT(w.count(0, Counter::gossip_sent), 0u);
-    EXPECT_GT(w.count(0, Counter::gossip_received), 0u);
-    EXPECT_EQ(w.count(0, Counter::gossip_malformed), 0u);
-    EXPECT_EQ(w.count(1, Counter::gossip_foreign), 0u);
+    EXPECT_TRUE(has_counts);
+    EXPECT_TRUE(has_sum);
+    EXPECT_GT(fixture.count(0, Counter::gossip_sent), 0u);
+    EXPECT_GT(fixture.count(0, Counter::gossip_received), 0u);
+    EXPECT_EQ(fixture.count(0, Counter::gossip_malformed), 0u);
+    EXPECT_EQ(fixture.count(1, Counter::gossip_foreign), 0u);
 }
 
-// Garbled, too long, foreign, a flood from a named address, none at all: clients are served just the same.
-TEST(GossipSocket, WhateverDatagramsBringClientsAreServed) {
-    Three w;
-    Datagrams foreign;
-    for (const size_t n : {2, 3, 256, 257, 1400}) w.third.say(w.at[0], std::string(n, '1'));
-    for (const char* odd : {"9h00000", "1h0000"}) w.third.say(w.at[0], odd);
-    EXPECT_TRUE(w.until([&] { return w.count(0, Counter::gossip_malformed) == 7; }));
-    for (int k = 0; k < 5; ++k) foreign.say(w.at[0], "1h00000");
-    EXPECT_TRUE(w.until([&] { return w.count(0, Counter::gossip_foreign) == 5; }));
-    w.third.say(w.at[0], "1h00000");
-    EXPECT_TRUE(w.until([&] { return w.count(0, Counter::gossip_received) >= 1; }));
-    const auto after = w.served(0);
+// Malformed, too long, foreign, a flood from a replica's address, none at all.
+TEST(GossipSocket, ClientsAreServedWhateverDatagramsArrive) {
+    GossipFixture fixture;
+    GossipPeer foreign;
+    for (const size_t size : {2, 3, 256, 257, 1400})
+        fixture.third.send_to(fixture.gossip_address[0], std::string(size, '1'));
+    for (const char* malformed : {"9h00000", "1h0000"})
+        fixture.third.send_to(fixture.gossip_address[0], malformed);
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(0, Counter::gossip_malformed) == 7; }));
+    for (int k = 0; k < 5; ++k) foreign.send_to(fixture.gossip_address[0], "1h00000");
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(0, Counter::gossip_foreign) == 5; }));
+    fixture.third.send_to(fixture.gossip_address[0], "1h00000");
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(0, Counter::gossip_received) >= 1; }));
+    const auto after = fixture.establish(0);
     for (int k = 0; k < 400; ++k) {
-        w.third.say(w.at[1], "1h00000");
-        if (k % 50 == 49) w.turn(0.005);
+        fixture.third.send_to(fixture.gossip_address[1], "1h00000");
+        if (k % 50 == 49) fixture.run_for(seconds(0.005));
     }
-    EXPECT_TRUE(w.until([&] { return w.count(1, Counter::gossip_foreign) > 0; }));
-    EXPECT_LE(w.count(1, Counter::gossip_received), 3 * 20 + 20);
-    const auto within = w.served(1);
-    w.third.fd.close(), w.balancers[1].reset();
-    w.turn(0.3);
-    const auto alone = w.served(0);
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(1, Counter::gossip_foreign) > 0; }));
+    EXPECT_LE(fixture.count(1, Counter::gossip_received), 3 * 20 + 20);
+    const auto within = fixture.establish(1);
+    fixture.third.fd.close();
+    fixture.balancers[1].reset();
+    fixture.run_for(seconds(0.3));
+    const auto alone = fixture.establish(0);
 }
 
-// A reload that would change its number, or speak from an address that is taken, changes nothing.
-TEST(GossipSocket, AReloadThatCannotBeKeepsTheOldOne) {
-    Three w;
-    BootstrapConfig other = w.boot(0), taken = w.boot(0);
-    other.cluster.policy.replica_index = 2;
-    taken.gossip_addresses[0] = taken.own_gossip_address = w.third.at;
-    for (const auto& [boot, key] : {std::pair(other, "'slotNo'"), {taken, "'peers.own'"}})
-        EXPECT_TRUE(has(refusal([&, &boot = boot] { w.balancers[0]->reload(boot); }), key));
-    w.third.say(w.at[0], "1h00000");
-    EXPECT_TRUE(w.until([&] { return w.count(0, Counter::gossip_received) > 0; }));
-    const auto client = w.served(0);
+// A reload that would change the replica index, or take an address that is in use.
+TEST(GossipSocket, ARefusedReloadKeepsTheOldAddresses) {
+    GossipFixture fixture;
+    BootstrapConfig other_index = fixture.make_config(0);
+    other_index.cluster.policy.replica_index = 2;
+    BootstrapConfig address_in_use = fixture.make_config(0);
+    address_in_use.own_gossip_address = fixture.third.address;
+    address_in_use.gossip_addresses[0] = fixture.third.address;
+    for (const auto& [config, key] : {std::pair(other_index, "'slotNo'"), {address_in_use, "'peers.own'"}}) {
+        const auto reload = [&, &config = config] { fixture.balancers[0]->reload(config); };
+        EXPECT_TRUE(contains(error_message(reload), key));
+    }
+    fixture.third.send_to(fixture.gossip_address[0], "1h00000");
+    EXPECT_TRUE(fixture.run_until([&] { return fixture.count(0, Counter::gossip_received) > 0; }));
+    const auto client = fixture.establish(0);
 }
 
-// A permission alone: it starts, says so, and the module is told that nobody is to be spoken to. Who spoke
-// until now does not fall silent by a reload that lost the names.
-TEST(GossipSocket, PermittedWithoutAddressesItServesAlone) {
-    Three w;
-    BootstrapConfig alone = w.boot(0);
-    alone.gossip_addresses.clear(), alone.gossip_without_peers = true;
-    EXPECT_TRUE(has(refusal([&] { w.balancers[0]->reload(alone); }), "'peers' is missing"));
+// Gossip is allowed and no replica is named: the balancer starts without gossip. A reload that loses the
+// names is refused.
+TEST(GossipSocket, AllowedWithoutAddressesItStartsWithoutGossip) {
+    GossipFixture fixture;
+    BootstrapConfig alone = fixture.make_config(0);
+    alone.gossip_addresses.clear();
+    alone.gossip_without_peers = true;
+    EXPECT_TRUE(contains(error_message([&] { fixture.balancers[0]->reload(alone); }), "'peers' is missing"));
     const BootstrapConfig read =
-        parse_bootstrap_config(config("", settings(R"("groupSize":2,"slotNo":1,)", true)), Clock());
+        parse_bootstrap_config(config_json("", settings_json(R"("groupSize":2,"slotNo":1,)", true)), Clock());
     EXPECT_TRUE(read.gossip_without_peers);
     EXPECT_FALSE(read.cluster.policy.gossip_enabled);
     EXPECT_TRUE(read.gossip_addresses.empty());
-    EXPECT_FALSE(parse_bootstrap_config(config("", settings(R"("groupSize":2,"slotNo":1,)", false)), Clock())
-                     .gossip_without_peers);
+    EXPECT_FALSE(
+        parse_bootstrap_config(config_json("", settings_json(R"("groupSize":2,"slotNo":1,)", false)), Clock())
+            .gossip_without_peers);
 }
 
-TEST(GossipSocket, AMixtureOfShapesIsRefusedByItsKey) {
-    const std::string a = "127.0.0.1:1", b = "127.0.0.1:2", two = peers_json(b, {a, b});
+TEST(GossipSocket, AnInconsistentConfigurationIsRefusedWithItsKey) {
+    const std::string first = "127.0.0.1:1";
+    const std::string second = "127.0.0.1:2";
+    const std::string two = peers_json(second, {first, second});
     const auto numbers = [](const char* size, const char* slot) {
         return R"("groupSize":)" + std::string(size) + R"(,"slotNo":)" + slot + ",";
     };
-    const std::string one = numbers("2", "1"), yes = settings(one, true), no = settings(one, false);
-    for (const auto& [peers, told] :
-         {std::pair(std::string(), settings("", false)), {"", no}, {two, yes}, {"", yes}})
-        EXPECT_TRUE(fault_of(peers, told).empty());
+    const std::string second_of_two = numbers("2", "1");
+    const std::string allowed = settings_json(second_of_two, true);
+    const std::string forbidden = settings_json(second_of_two, false);
+    for (const auto& [peers, settings] :
+         {std::pair(std::string(), settings_json("", false)), {"", forbidden}, {two, allowed}, {"", allowed}})
+        EXPECT_TRUE(config_error(peers, settings).empty());
     const std::vector<std::array<std::string, 3>> refused = {
-        {two, no, "'ceilings.peers'"},
-        {two, settings(numbers("3", "1"), true), "'peers.all' has 2"},
-        {two, settings(numbers("2", "2"), true), "'slotNo'"},
-        {two, settings(numbers("2", "0"), true), "'peers.own'"},
-        {two, settings(numbers("0", "0"), true), "'groupSize'"},
-        {two, settings("", true), "'groupSize'"},
-        {peers_json(b, {a, "x"}), yes, "'peers.all'"},
-        {peers_json(b, {b, b}), yes, "twice"},
-        {R"("peers":{"all":[]},)", yes, "'own'"},
-        {R"("peers":7,)", yes, "'peers'"},
-        {R"("peers":["127.0.0.1:1"],)", yes, "'peers' has 1"},
-        {R"("peers":["127.0.0.1:1","127.0.0.1:1"],)", yes, "twice"},
-        {R"("peers":["127.0.0.1:1",7],)", yes, "'peers'"},
-        {R"("peers":["127.0.0.1:1","127.0.0.1:2"],)", no, "'ceilings.peers'"}};
+        {two, forbidden, "'ceilings.peers'"},
+        {two, settings_json(numbers("3", "1"), true), "'peers.all' has 2"},
+        {two, settings_json(numbers("2", "2"), true), "'slotNo'"},
+        {two, settings_json(numbers("2", "0"), true), "'peers.own'"},
+        {two, settings_json(numbers("0", "0"), true), "'groupSize'"},
+        {two, settings_json("", true), "'groupSize'"},
+        {peers_json(second, {first, "x"}), allowed, "'peers.all'"},
+        {peers_json(second, {second, second}), allowed, "twice"},
+        {R"("peers":{"all":[]},)", allowed, "'own'"},
+        {R"("peers":7,)", allowed, "'peers'"},
+        {R"("peers":["127.0.0.1:1"],)", allowed, "'peers' has 1"},
+        {R"("peers":["127.0.0.1:1","127.0.0.1:1"],)", allowed, "twice"},
+        {R"("peers":["127.0.0.1:1",7],)", allowed, "'peers'"},
+        {R"("peers":["127.0.0.1:1","127.0.0.1:2"],)", forbidden, "'ceilings.peers'"}};
     const BootstrapConfig bare =
-        parse_bootstrap_config(config(R"("peers":["127.0.0.1:1","127.0.0.1:2"],)", yes), Clock());
-    EXPECT_EQ(bare.own_gossip_address, b);
-    EXPECT_TRUE(bare.gossip_addresses == std::vector<std::string>({a, b}));
+        parse_bootstrap_config(config_json(R"("peers":["127.0.0.1:1","127.0.0.1:2"],)", allowed), Clock());
+    EXPECT_EQ(bare.own_gossip_address, second);
+    EXPECT_TRUE(bare.gossip_addresses == std::vector<std::string>({first, second}));
     EXPECT_FALSE(bare.gossip_without_peers);
-    for (const auto& [peers, told, key] : refused) EXPECT_TRUE(has(fault_of(peers, told), key));
+    for (const auto& [peers, settings, key] : refused)
+        EXPECT_TRUE(contains(config_error(peers, settings), key));
 }
 
-TEST(GossipSocket, TheColdRuleIsToldWholeAndSane) {
-    const std::array<std::string, 3> keys{"fallMultiple", "fallNs", "coldShare"},
-        sane{"2.5", "3000000000", "0.3"};
-    const auto fault = [&](const std::array<std::string, 3>& values) {
+TEST(GossipSocket, WarmUpSettingsOutOfRangeAreRefusedWithTheirKey) {
+    const std::array<std::string, 3> keys{"fallMultiple", "fallNs", "coldShare"};
+    const std::array<std::string, 3> valid{"2.5", "3000000000", "0.3"};
+    const auto error_of = [&](const std::array<std::string, 3>& values) {
         std::string cold;
         for (int k = 0; k < 3; ++k)
             if (!values[k].empty()) cold += ",\"" + keys[k] + "\":" + values[k];
-        return fault_of("", settings("", false, cold));
+        return config_error("", settings_json("", false, cold));
     };
-    EXPECT_TRUE(fault(sane).empty());
-    EXPECT_TRUE(fault({}).empty());
-    const std::vector<std::string> odd[] = {
+    EXPECT_TRUE(error_of(valid).empty());
+    EXPECT_TRUE(error_of({}).empty());
+    const std::vector<std::string> invalid[] = {
         {"", "0", "-3", "1e300", "\"3\""}, {"", "0", "-1"}, {"", "0", "-0.3", "1.1"}};
     for (int k = 0; k < 3; ++k)
-        for (const std::string& value : odd[k]) {
-            auto values = sane;
+        for (const std::string& value : invalid[k]) {
+            auto values = valid;
             values[k] = value;
-            EXPECT_TRUE(has(fault(values), "'" + keys[k] + "'"));
+            EXPECT_TRUE(contains(error_of(values), "'" + keys[k] + "'"));
         }
-    const PolicyConfig old = parse_bootstrap_config(config("", settings("", false)), Clock()).cluster.policy;
+    const PolicyConfig old =
+        parse_bootstrap_config(config_json("", settings_json("", false)), Clock()).cluster.policy;
     EXPECT_FALSE(old.gossip_enabled);
-    EXPECT_EQ(old.overload_multiple, 3);  // of before: taken as before
+    EXPECT_EQ(old.overload_multiple, 3);  // the default
 }
 
-// The process before it stands still, or is stuck: whoever starts beside it must not fail for a side channel.
-TEST(GossipSocket, OneWhoseAddressIsStillTakenServesAndSpeaksOnceItIsFree) {
-    Three t;
-    BootstrapConfig boot = t.boot(0);
-    boot.listen = free_place();
-    Balancer late(t.loop, boot, t.clock, t.log);
+// Guards against a start that fails because a stopped process still has the gossip address.
+TEST(GossipSocket, ServesWhileItsAddressIsInUseAndBindsItOnceItIsFree) {
+    GossipFixture fixture;
+    BootstrapConfig config = fixture.make_config(0);
+    config.listen = unused_address();
+    Balancer late(fixture.loop, config, fixture.clock, fixture.log);
     late.start();
-    EXPECT_TRUE(has(t.said.str(), "gossip_unavailable address=" + t.at[0]));
-    const auto is_taken = [&] {
-        const Address a = *Address::from(t.at[0]);
-        const Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-        return bind(fd.get(), reinterpret_cast<const sockaddr*>(&a.bytes), a.size) != 0;
+    EXPECT_TRUE(contains(fixture.log_text.str(), "gossip_unavailable address=" + fixture.gossip_address[0]));
+    const auto is_in_use = [&] {
+        const Address address = *Address::from(fixture.gossip_address[0]);
+        const FileDescriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+        return bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.bytes), address.size) != 0;
     };
-    t.balancers[0].reset();
-    EXPECT_FALSE(is_taken());
-    EXPECT_TRUE(t.until(is_taken));
-    boot.gossip_addresses[0] = boot.own_gossip_address =
-        "192.0.2.1:9090";  // an address that is nobody's here is still refused
-    EXPECT_TRUE(has(refusal([&] { Balancer(t.loop, boot, t.clock, t.log).start(); }), "cannot speak"));
+    fixture.balancers[0].reset();
+    EXPECT_FALSE(is_in_use());
+    EXPECT_TRUE(fixture.run_until(is_in_use));
+    // An address that is not of this host is still refused.
+    config.own_gossip_address = "192.0.2.1:9090";
+    config.gossip_addresses[0] = config.own_gossip_address;
+    const auto start = [&] { Balancer(fixture.loop, config, fixture.clock, fixture.log).start(); };
+    EXPECT_TRUE(contains(error_message(start), "cannot speak"));
 }
--- a/tests/proxy/test_graceful_shutdown.cpp
+++ b/tests/proxy/test_graceful_shutdown.cpp
@@ -1,98 +1,123 @@
-// The end of a process, with real processes that stand still at the wrong moment.
-#include "proxy/fake_site.h"
+/// Graceful shutdown, also of processes that are stopped (SIGSTOP) meanwhile.
+#include "proxy/balancer_fixture.h"
+#include "proxy/process_fixture.h"
 
-static bool stops(pid_t child) {
+/// Stops a process; it goes on at SIGCONT.
+static bool stop(pid_t child) {
     int status = 0;
     kill(child, SIGSTOP);
     return waitpid(child, &status, WUNTRACED) == child && WIFSTOPPED(status);
 }
 
-// Told to end, it stands still until its time to go is over; forty clients connect and speak meanwhile.
-TEST(GracefulShutdown, WhoStandsInTheQueueOfAProcessThatEndsIsAnswered) {
-    Site w;
-    const auto program = w.start();
+static void leave(Peer& client, bool by_reset) {
+    if (by_reset)
+        client.send_reset();
+    else
+        client.send_fin();
+}
+
+// Stopped until its shutdown is overdue; forty clients connect and send their requests meanwhile.
+TEST(GracefulShutdown, AnswersClientsInTheListenerQueueOfAProcessThatEnds) {
+    ProcessFixture fixture;
+    const auto program = fixture.start();
     kill(program.pid, SIGTERM);
-    w.turn(0.05);
-    EXPECT_TRUE(stops(program.pid));
+    fixture.run_for(seconds(0.05));
+    EXPECT_TRUE(stop(program.pid));
     std::vector<Peer> clients;
-    for (int k = 0; k < 40; ++k) clients.push_back(w.client());
-    w.turn(0.6);
+    for (int k = 0; k < 40; ++k) clients.push_back(fixture.connect_client());
+    fixture.run_for(seconds(0.6));
     kill(program.pid, SIGCONT);
-    for (Peer& c : clients) EXPECT_TRUE(w.until([&] { return c.read(), c.ended || c.broke; }));
-    for (Peer& c : clients) EXPECT_EQ(c.got, "BUSY\r\n");
+    for (Peer& client : clients) EXPECT_TRUE(fixture.sees_close(client));
+    for (Peer& client : clients) EXPECT_EQ(client.received, "BUSY\r\n");
     int status = -1;
-    EXPECT_TRUE(w.exits(program.pid, status));
+    EXPECT_TRUE(fixture.exits(program.pid, status));
     EXPECT_TRUE(WIFEXITED(status));
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// Its line comes in pieces, the last one when all others have gone; a second word to end changes nothing.
-TEST(GracefulShutdown, ALineBegunBeforeTheEndIsHeardToItsEnd) {
-    Site w;
-    const auto program = w.start();
-    Peer slow = dial(w.listen), silent = dial(w.listen);
+// The line comes in pieces, the last one when all other clients have gone; a second SIGTERM changes nothing.
+TEST(GracefulShutdown, WaitsForTheRestOfALineThatBeganBefore) {
+    ProcessFixture fixture;
+    const auto program = fixture.start();
+    Peer slow = connect_peer(fixture.listen_address);
+    Peer silent = connect_peer(fixture.listen_address);
     slow.write("OPEN 1000000000000777 2b c=ch");
-    w.turn(0.05);
+    fixture.run_for(seconds(0.05));
     kill(program.pid, SIGTERM);
-    w.turn(0.3);
+    fixture.run_for(seconds(0.3));
     kill(program.pid, SIGTERM);
-    w.turn(0.4);
-    EXPECT_TRUE(w.says(silent, "BUSY\r\n"));
+    fixture.run_for(seconds(0.4));
+    EXPECT_TRUE(fixture.receives(silent, "BUSY\r\n"));
     silent.fd.close();
-    w.turn(0.3);  // nobody else keeps the process
+    fixture.run_for(seconds(0.3));  // no other client keeps the process
     slow.write("at,d=900\r\n");
-    EXPECT_TRUE(w.says(slow, "BUSY\r\n"));
+    EXPECT_TRUE(fixture.receives(slow, "BUSY\r\n"));
     int status = -1;
-    EXPECT_TRUE(w.exits(program.pid, status));
+    EXPECT_TRUE(fixture.exits(program.pid, status));
     EXPECT_TRUE(WIFEXITED(status));
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// The process stands still for a second in which its client comes, speaks and goes.
-TEST(GracefulShutdown, AClientThatLeftWhileTheProcessStoodStillIsNotSentOn) {
-    for (const bool reset : {false, true}) {
-        Site w;
-        const auto program = w.start();
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        EXPECT_TRUE(stops(program.pid));
+// The client comes, sends its request and leaves while the process is stopped.
+TEST(GracefulShutdown, DoesNotForwardAClientThatLeftWhileTheProcessWasStopped) {
+    for (const bool by_reset : {false, true}) {
+        ProcessFixture fixture;
+        const auto program = fixture.start();
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        EXPECT_TRUE(stop(program.pid));
         std::vector<Peer> clients;
-        for (int k = 0; k < 20; ++k) clients.push_back(w.client());
-        w.turn(0.4);
-        for (Peer& c : clients) reset ? c.rst() : c.fin();
-        w.turn(0.4);
+        for (int k = 0; k < 20; ++k) clients.push_back(fixture.connect_client());
+        fixture.run_for(seconds(0.4));
+        for (Peer& client : clients) leave(client, by_reset);
+        fixture.run_for(seconds(0.4));
         kill(program.pid, SIGCONT);
-        w.turn(0.5);
-        for (Peer s; s = w.server.accept(), s.fd;) {
-            EXPECT_TRUE(w.until([&] { return s.read(), s.ended || s.broke; }));
-            EXPECT_TRUE(s.got.empty());
+        fixture.run_for(seconds(0.5));
+        while (std::optional<Peer> server = fixture.server_listener.try_accept()) {
+            EXPECT_TRUE(fixture.sees_close(*server));
+            EXPECT_TRUE(server->received.empty());
         }
     }
 }
 
-// The same while the next process is starting: the old one goes on, hands over, and nobody sends them on. The
-// clients come after the fork, or the child would hold their connections open.
-TEST(GracefulShutdown, AClientThatLeftIsNotSentOnAcrossAHandOver) {
-    for (const bool reset : {false, true}) {
-        Site w;
-        const auto old = w.start();
-        fcntl(w.server.fd.get(), F_SETFL, O_NONBLOCK);
-        auto pair = w.standing();
-        EXPECT_TRUE(stops(old.pid));
-        const auto next = w.launch();
+// The same while the next process starts, and neither process forwards them. The clients come after the fork,
+// or the child would hold their connections open.
+TEST(GracefulShutdown, DoesNotForwardAClientThatLeftDuringAHotRestart) {
+    for (const bool by_reset : {false, true}) {
+        ProcessFixture fixture;
+        const auto old = fixture.start();
+        fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
+        auto request = fixture.establish();
+        EXPECT_TRUE(stop(old.pid));
+        const auto next = fixture.launch();
         std::vector<Peer> clients;
-        for (int k = 0; k < 20; ++k) clients.push_back(w.client());
-        w.turn(0.05);
-        for (Peer& c : clients) reset ? c.rst() : c.fin();
-        w.turn(0.35);
+        for (int k = 0; k < 20; ++k) clients.push_back(fixture.connect_client());
+        fixture.run_for(seconds(0.05));
+        for (Peer& client : clients) leave(client, by_reset);
+        fixture.run_for(seconds(0.35));
         kill(old.pid, SIGCONT);
-        EXPECT_TRUE(w.until([&] { return w.ask(next, "STATUS") == "done\r\n"; }));
-        w.turn(0.4);
-        for (Peer s; s = w.server.accept(), s.fd;) {
-            EXPECT_TRUE(w.until([&] { return s.read(), s.ended || s.broke; }));
-            EXPECT_TRUE(s.got.empty());
+        EXPECT_TRUE(fixture.run_until([&] { return fixture.is_serving(next); }));
+        fixture.run_for(seconds(0.4));
+        while (std::optional<Peer> server = fixture.server_listener.try_accept()) {
+            EXPECT_TRUE(fixture.sees_close(*server));
+            EXPECT_TRUE(server->received.empty());
         }
-        w.carries(pair, "on\r\n");
-        w.leaves(old.pid);
-        w.carries(pair, "still on\r\n");
+        fixture.exchange_lines(request, "on\r\n");
+        fixture.shut_down(old.pid);
+        fixture.exchange_lines(request, "still on\r\n");
     }
 }
+
+TEST(GracefulShutdown, MigratesEstablishedRequests) {
+    BalancerFixture fixture;
+    auto [client, server] = fixture.establish();
+    fixture.balancer->begin_leaving();
+    Peer late = fixture.connect_client();
+    Peer late_server = fixture.accept_attempt();
+    late_server.write("UP r\r\n");
+    EXPECT_TRUE(fixture.receives(late, "UP r\r\n"));
+    EXPECT_TRUE(fixture.receives(client, "MOVE\r\n"));
+    EXPECT_TRUE(fixture.sees_close(client));
+    EXPECT_TRUE(client.saw_fin);
+    EXPECT_TRUE(fixture.sees_close(server));
+    EXPECT_TRUE(fixture.receives(late, "MOVE\r\n"));
+}
--- a/tests/proxy/test_unfinished_requests.cpp
+++ b/tests/proxy/test_unfinished_requests.cpp
@@ -1,39 +1,41 @@
-// Clients that stop in the middle of their request and stay: real processes of the program, held up, reloaded
-// and replaced meanwhile. Each such client is owed ERR, BUSY or the end of its connection within three
-// seconds.
+/// Clients that stop in the middle of their request line and stay, with real processes that are stopped,
+/// reloaded and replaced meanwhile. Each such client is owed ERR, BUSY or a close within three seconds.
 #include <random>
 
-#include "proxy/fake_site.h"
+#include "proxy/process_fixture.h"
 
 namespace {
 
 constexpr Duration owed_within = seconds(3);
-constexpr Duration longest_hold_up = millis(150);
+constexpr Duration longest_stop = millis(150);
 const std::string half_line = "OPEN 1000000000000777 2b c=ch";
 
 struct Step {
-    Duration at;  // after the connect
+    Duration at;  ///< after the connect
     std::string bytes;
 };
 
-// Sends its steps and then stays, whatever it is told.
+/// Sends its steps and then stays, whatever it receives.
 class StoppingClient {
    public:
     StoppingClient(std::string name, const std::string& listen, std::vector<Step> steps, Duration owed_from)
-        : name_(std::move(name)), peer_(dial(listen)), steps_(std::move(steps)), owed_from_(owed_from) {}
+        : name_(std::move(name)),
+          peer_(connect_peer(listen)),
+          steps_(std::move(steps)),
+          owed_from_(owed_from) {}
 
     void advance() {
         for (; next_ < steps_.size() && age() >= steps_[next_].at; ++next_) peer_.write(steps_[next_].bytes);
         peer_.read();
-        const bool has_word = peer_.got.find("ERR") != std::string::npos || has_busy();
-        if (!is_answered() && (has_word || peer_.ended || peer_.broke)) answered_at_ = Clock::now();
+        const bool has_answer = peer_.received.find("ERR") != std::string::npos || has_busy();
+        if (!is_answered() && (has_answer || peer_.is_closed())) answered_at_ = Clock::now();
     }
 
     bool is_answered() const { return answered_at_.has_value(); }
-    bool has_busy() const { return peer_.got.find("BUSY") != std::string::npos; }
+    bool has_busy() const { return peer_.received.find("BUSY") != std::string::npos; }
     bool is_late() const { return Clock::now() - (connected_at_ + owed_from_) > owed_within; }
 
-    // Tells of a client that has waited for longer than it may.
+    /// Describes a client that has waited for too long; "" for one that has not.
     std::string complaint() const {
         const TimePoint end = answered_at_.value_or(Clock::now());
         const Duration waited = end - (connected_at_ + owed_from_);
@@ -48,14 +50,14 @@
     std::string name_;
     Peer peer_;
     std::vector<Step> steps_;
-    Duration owed_from_;  // after the connect: its own instant, or when a prober began its line
+    Duration owed_from_;  ///< after the connect
     TimePoint connected_at_ = Clock::now();
     std::optional<TimePoint> answered_at_;
     size_t next_ = 0;
 };
 
-// Every way to stop half-way. A client that begins its line soon after the connect is owed its answer from
-// the connect on, one that has probed for seconds from when it began.
+/// Every way to stop in the middle. A client that begins its line soon after the connect is owed its answer
+/// from the connect on, one that has probed for seconds from the beginning of its line.
 std::vector<StoppingClient> all_ways_to_stop(const std::string& listen) {
     std::vector<Step> byte_by_byte;
     for (size_t k = 0; k < half_line.size(); ++k)
@@ -83,37 +85,38 @@
     return clients;
 }
 
-void advance_for(Duration span, const Loop& loop, std::vector<StoppingClient>& clients) {
-    for (const TimePoint end = Clock::now() + span; Clock::now() < end; loop.turn(0.005))
+void advance_for(Duration duration, const EventLoopFixture& loop, std::vector<StoppingClient>& clients) {
+    for (const TimePoint end = Clock::now() + duration; Clock::now() < end; loop.run_for(seconds(0.005)))
         for (StoppingClient& client : clients) client.advance();
 }
 
-// Until all are answered or late; `act` is called all the time.
+/// Runs until all are answered or late and calls `act` meanwhile. Returns the complaints of all.
 std::string complaints(
-    const Loop& loop, std::vector<StoppingClient>& clients, const std::function<void()>& act = [] {}) {
+    const EventLoopFixture& loop, std::vector<StoppingClient>& clients,
+    const std::function<void()>& act = [] {}) {
     const auto is_settled = [](const StoppingClient& client) {
         return client.is_answered() || client.is_late();
     };
     while (!std::all_of(clients.begin(), clients.end(), is_settled)) {
         act();
         for (StoppingClient& client : clients) client.advance();
-        loop.turn(0.005);
+        loop.run_for(seconds(0.005));
     }
     std::string all;
     for (const StoppingClient& client : clients) all += client.complaint();
     return all;
 }
 
-// Stops a process for up to 0.15 s at random moments.
-class HoldUps {
+/// Stops a process for up to 0.15 s at random moments.
+class RandomStops {
    public:
-    explicit HoldUps(pid_t process) : process_(process), random_(static_cast<unsigned>(process)) {}
+    explicit RandomStops(pid_t process) : process_(process), random_(static_cast<unsigned>(process)) {}
 
     void advance() {
         if (Clock::now() < next_) return;
-        is_held_ = !is_held_;
-        kill(process_, is_held_ ? SIGSTOP : SIGCONT);
-        const Duration longest = is_held_ ? longest_hold_up : millis(600);
+        is_stopped_ = !is_stopped_;
+        kill(process_, is_stopped_ ? SIGSTOP : SIGCONT);
+        const Duration longest = is_stopped_ ? longest_stop : millis(600);
         next_ = Clock::now() + longest * std::uniform_real_distribution<>(0, 1)(random_);
     }
 
@@ -121,88 +124,90 @@
     pid_t process_;
     std::mt19937 random_;
     TimePoint next_ = Clock::now();
-    bool is_held_ = false;
+    bool is_stopped_ = false;
 };
 
 }  // namespace
 
 TEST(UnfinishedRequests, AreAnsweredWithinThreeSecondsByEachOfSeveralProcesses) {
     constexpr int process_count = 4;
-    std::vector<std::unique_ptr<Site>> sites;
-    std::vector<HoldUps> hold_ups;
+    std::vector<std::unique_ptr<ProcessFixture>> fixtures;
+    std::vector<RandomStops> stops;
     std::vector<StoppingClient> clients;
     for (int k = 0; k < process_count; ++k) {
-        sites.push_back(std::make_unique<Site>());
-        const Site::Program program = sites.back()->start();
+        fixtures.push_back(std::make_unique<ProcessFixture>());
+        const ProcessFixture::Program program = fixtures.back()->start();
         // Two run undisturbed.
-        if (k % 2 == 1) hold_ups.emplace_back(program.pid);
+        if (k % 2 == 1) stops.emplace_back(program.pid);
     }
-    for (const auto& site : sites)
-        for (StoppingClient& client : all_ways_to_stop(site->listen)) clients.push_back(std::move(client));
-    const auto hold_up = [&] {
-        for (HoldUps& process : hold_ups) process.advance();
+    for (const auto& fixture : fixtures)
+        for (StoppingClient& client : all_ways_to_stop(fixture->listen_address)) clients.push_back(std::move(client));
+    const auto advance_stops = [&] {
+        for (RandomStops& process : stops) process.advance();
     };
-    EXPECT_EQ(complaints(*sites.front(), clients, hold_up), "");
-    // The last one first: a later site's processes hold copies of an earlier one's descriptors.
-    while (!sites.empty()) sites.pop_back();
+    EXPECT_EQ(complaints(*fixtures.front(), clients, advance_stops), "");
+    // The last one first: a later fixture's processes hold copies of an earlier one's descriptors.
+    while (!fixtures.empty()) fixtures.pop_back();
 }
 
-TEST(UnfinishedRequests, AreAnsweredInTimeWhenTheConfigurationIsReadAgain) {
-    Site site;
-    const Site::Program program = site.start();
-    std::vector<StoppingClient> clients = all_ways_to_stop(site.listen);
-    advance_for(seconds(1), site, clients);
+TEST(UnfinishedRequests, AreAnsweredInTimeDuringReloads) {
+    ProcessFixture fixture;
+    const ProcessFixture::Program program = fixture.start();
+    std::vector<StoppingClient> clients = all_ways_to_stop(fixture.listen_address);
+    advance_for(seconds(1), fixture, clients);
     for (int count = 0; count < 8; ++count) {
         kill(program.pid, SIGHUP);
-        advance_for(millis(200), site, clients);
+        advance_for(millis(200), fixture, clients);
     }
-    EXPECT_EQ(complaints(site, clients), "");
+    EXPECT_EQ(complaints(fixture, clients), "");
 }
 
-TEST(UnfinishedRequests, AreAnsweredInTimeByTheProcessThatTookThemOver) {
-    Site site;
-    const Site::Program old = site.start();
+TEST(UnfinishedRequests, AreAnsweredInTimeAfterAHotRestart) {
+    ProcessFixture fixture;
+    const ProcessFixture::Program old = fixture.start();
     std::vector<StoppingClient> clients;
-    clients.emplace_back("half a line", site.listen, std::vector<Step>{{{}, half_line}}, Duration{});
-    clients.emplace_back("half a probe", site.listen, std::vector<Step>{{{}, "PI"}}, Duration{});
-    advance_for(seconds(1), site, clients);
-    const Site::Program next = site.start();
+    clients.emplace_back("half a line", fixture.listen_address, std::vector<Step>{{{}, half_line}},
+                         Duration{});
+    clients.emplace_back("half a probe", fixture.listen_address, std::vector<Step>{{{}, "PI"}}, Duration{});
+    advance_for(seconds(1), fixture, clients);
+    const ProcessFixture::Program next = fixture.start();
     EXPECT_NE(old.pid, next.pid);
-    EXPECT_EQ(complaints(site, clients), "");
+    EXPECT_EQ(complaints(fixture, clients), "");
 }
 
-TEST(UnfinishedRequests, AreAnsweredInTimeByAProcessThatIsToldToEnd) {
-    Site site;
-    const Site::Program program = site.start();
-    std::vector<StoppingClient> clients = all_ways_to_stop(site.listen);
-    advance_for(seconds(0.5), site, clients);
+TEST(UnfinishedRequests, AreAnsweredInTimeDuringAShutdown) {
+    ProcessFixture fixture;
+    const ProcessFixture::Program program = fixture.start();
+    std::vector<StoppingClient> clients = all_ways_to_stop(fixture.listen_address);
+    advance_for(seconds(0.5), fixture, clients);
     kill(program.pid, SIGTERM);
-    EXPECT_EQ(complaints(site, clients), "");
+    EXPECT_EQ(complaints(fixture, clients), "");
 }
 
-TEST(UnfinishedRequests, AreAnsweredInTimeInACrowdThatUsesUpTheDescriptors) {
-    Site site;
-    site.start();
+TEST(UnfinishedRequests, AreAnsweredInTimeWhenTheyUseUpTheDescriptors) {
+    ProcessFixture fixture;
+    fixture.start();
     std::vector<StoppingClient> clients;
     for (int count = 0; count < 300; ++count)
-        clients.emplace_back("one of a crowd", site.listen, std::vector<Step>{{{}, half_line}}, Duration{});
-    EXPECT_EQ(complaints(site, clients), "");
+        clients.emplace_back("one of many", fixture.listen_address, std::vector<Step>{{{}, half_line}},
+                             Duration{});
+    EXPECT_EQ(complaints(fixture, clients), "");
 }
 
-// The other side of the limit: who writes for two seconds, and is held up on the way, is served.
+// The other side of the limit: a line that takes two seconds, and a stop of the process, is served.
 TEST(UnfinishedRequests, ALineWrittenOverTwoSecondsIsServed) {
-    Site site;
-    const Site::Program program = site.start();
-    Peer slow = dial(site.listen);
+    ProcessFixture fixture;
+    const ProcessFixture::Program program = fixture.start();
+    Peer slow = connect_peer(fixture.listen_address);
     const std::string line = "OPEN 1000000000000778 2b c=chat,d=900\r\n";
     for (size_t k = 0; k < line.size(); ++k) {
         slow.write(line.substr(k, 1));
-        site.turn(2.0 / static_cast<double>(line.size()));
+        fixture.run_for(seconds(2.0 / static_cast<double>(line.size())));
     }
     kill(program.pid, SIGSTOP);
-    site.turn(to_seconds(longest_hold_up));
+    fixture.run_for(longest_stop);
     kill(program.pid, SIGCONT);
-    Peer server = site.taken();
+    Peer server = fixture.accept_attempt();
     server.write("UP r\r\n");
-    EXPECT_TRUE(site.says(slow, "UP r\r\n"));
+    EXPECT_TRUE(fixture.receives(slow, "UP r\r\n"));
 }
--- /dev/null
+++ b/tests/proxy/test_wall_clock_steps.cpp
@@ -0,0 +1,98 @@
+/// Processes whose wall clock is stepped while they serve.
+#include <chrono>
+
+#include "proxy/faulty_process_fixture.h"
+
+// Guards against descriptors that stay open because the wall clock went back.
+TEST(WallClockSteps, LingeringConnectionsCloseInTimeAfterAStepBack) {
+    ProcessFixture fixture;
+    const WallClock clock(fixture.folder + "/clock");
+    fixture.executable = built("headrouter");
+    fixture.environment = clock.environment();
+    const ProcessFixture::Program running = fixture.start();
+    const size_t before = open_descriptors(running.pid);
+    std::vector<Peer> clients;
+    for (int count = 0; count < 6; ++count) {
+        clients.push_back(connect_peer(fixture.listen_address));
+        clients.back().write("no request\r\n");
+    }
+    for (Peer& client : clients) EXPECT_TRUE(fixture.receives(client, "ERR\r\n"));
+    clock.step(seconds(-3600));
+    fixture.run_for(seconds(2));
+    fixture.run_for(seconds(1));
+    EXPECT_LE(open_descriptors(running.pid), before);
+    for (const Peer& client : clients) EXPECT_TRUE(is_closed_by_peer(fixture, client));
+}
+
+// Guards against cutting connections before their peers have had the time to read.
+TEST(WallClockSteps, LingeringConnectionsKeepTheirTimeAfterAStepForward) {
+    ProcessFixture fixture;
+    const WallClock clock(fixture.folder + "/clock");
+    fixture.executable = built("headrouter");
+    fixture.environment = clock.environment();
+    const ProcessFixture::Program running = fixture.start();
+    Peer client = connect_peer(fixture.listen_address);
+    client.write("no request\r\n");
+    EXPECT_TRUE(fixture.receives(client, "ERR\r\n"));
+    clock.step(seconds(3600));
+    fixture.run_for(seconds(0.6));
+    EXPECT_FALSE(is_closed_by_peer(fixture, client)) << running.pid;
+    clock.step({});
+    fixture.run_for(seconds(1.9));
+    EXPECT_TRUE(is_closed_by_peer(fixture, client));
+}
+
+namespace {
+
+/// Answers the next poll of discovery with a snapshot whose server started at `started_at_ms`. `polls` keeps
+/// the connections open.
+void send_snapshot(ProcessFixture& fixture, std::vector<Peer>& polls, int64_t started_at_ms) {
+    fcntl(fixture.discovery_listener.fd.get(), F_SETFL, O_NONBLOCK);
+    const std::string body = R"({"generation":2,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
+                             fixture.server_listener.address +
+                             R"(","zone":"a","lifecycle":"SERVING","startedAtMs":)" +
+                             std::to_string(started_at_ms) + "}]}";
+    // Earlier polls have timed out by now; the newest connection is the one that waits.
+    EXPECT_TRUE(fixture.run_until([&] {
+        while (std::optional<Peer> poll = fixture.discovery_listener.try_accept())
+            polls.push_back(std::move(*poll));
+        if (polls.empty()) return false;
+        polls.back().read();
+        return polls.back().received.find("\r\n\r\n") != std::string::npos && !polls.back().saw_fin;
+    }));
+    polls.back().write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                       body);
+    polls.back().received.clear();
+    fixture.run_for(seconds(0.1));
+}
+
+int64_t unix_ms() {
+    using namespace std::chrono;
+    return duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
+}
+
+}  // namespace
+
+// Guards against endpoints that look restarted because the next process reads a stepped clock.
+TEST(WallClockSteps, AServerDoesNotLookRestartedAfterAHotRestartWithASteppedClock) {
+    for (const Duration step : {seconds(-3600), seconds(3600)}) {
+        ProcessFixture fixture;
+        const WallClock clock(fixture.folder + "/clock");
+        fixture.executable = built("headrouter");
+        fixture.environment = clock.environment();
+        const int64_t started_at_ms = unix_ms() - 500;
+        std::vector<Peer> polls;
+        const ProcessFixture::Program old = fixture.start();
+        send_snapshot(fixture, polls, started_at_ms);
+        auto request = fixture.establish();
+        clock.step(step);
+        const ProcessFixture::Program next = fixture.start();
+        polls.clear();
+        send_snapshot(fixture, polls, started_at_ms);
+        fixture.exchange_lines(request, "on\r\n");
+        EXPECT_EQ(request.client.received.find("MOVE"), std::string::npos) << to_seconds(step);
+        fixture.shut_down(old.pid);
+        fixture.exchange_lines(request, "still on\r\n");
+        EXPECT_EQ(fixture.admin_reply(next, "STATUS"), "done\r\n");
+    }
+}
