--- a/tests/gossip/test_gossip.cpp
+++ b/tests/gossip/test_gossip.cpp
@@ -1,4 +1,4 @@
-// A handful of policies joined by a simulated network that loses, delays, duplicates and spoils datagrams.
+/// A handful of policies joined by a simulated network that loses, delays, duplicates and spoils datagrams.
 #include <functional>
 
 #include "capture/policy_state.h"
@@ -124,10 +124,10 @@
 
 }  // namespace
 
-// A server that all balancers fill a little is full, though no single one can see it.
-TEST(Gossip, SharesAndRoomFollowThePooledCounts) {
+// Guards against a server that all balancers fill a little, though no single one sees that it is full.
+TEST(Gossip, SharesAndHeadroomFollowTheAggregatedLoads) {
     SimulatedGossipNetwork network(10, 8);
-    for (const char* s : {"s0", "s0", "s1", "s2", "s3"}) network.adopt_connections(1, s, 1);
+    for (const char* server : {"s0", "s0", "s1", "s2", "s3"}) network.adopt_connections(1, server, 1);
     EXPECT_EQ(network.inspect(0).fleet_trust(network.now), 0);
     EXPECT_TRUE(network.inspect(0).has_room_for_group(network.now, "s0"));
     network.run(seconds(11));
@@ -143,29 +143,31 @@
         network.adopt_connections(1, "s0", 4);
         network.run(seconds(5));
     }
-    network.run(
-        seconds(20));  // a sum leads no farther than half as much again, so it takes some; a few are shed
+    // A sum may grow by half at a time, so this takes some rounds; a few connections are migrated.
+    network.run(seconds(20));
     EXPECT_GT(network.inspect(0).fleet_load("s0"), 80);
     EXPECT_FALSE(network.inspect(0).has_room_for_group(network.now, "s0"));
     EXPECT_TRUE(network.inspect(0).has_room_for_group(network.now, "s5"));
 }
 
-TEST(Gossip, WhoHoldsAGroupIsTold) {
+TEST(Gossip, GroupLocationsArePublished) {
     SimulatedGossipNetwork network(4, 6);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
-    const ServerId first = network.place(0, 1, "lecture"), other = first == "s5" ? "s4" : "s5";
-    network.policy(0).on_request_adopted(network.now, make_request(2, network.now, "", "concert"),
-                                         other);  // where no draw sends it
+    const ServerId first = network.place(0, 1, "lecture");
+    // Where rendezvous hashing would not send it.
+    const ServerId other = first == "s5" ? "s4" : "s5";
+    network.policy(0).on_request_adopted(network.now, make_request(2, network.now, "", "concert"), other);
     network.run(seconds(1));
-    for (int k = 1; k < 4; ++k)
-        EXPECT_TRUE(network.place(k, 10 + k, "lecture") == first &&
-                    network.place(k, 20 + k, "concert") == other);
+    for (int k = 1; k < 4; ++k) {
+        EXPECT_EQ(network.place(k, 10 + k, "lecture"), first);
+        EXPECT_EQ(network.place(k, 20 + k, "concert"), other);
+    }
 }
 
-// Everything lost: each acts as where no message is permitted, send for send.
-TEST(Gossip, WithAllLostAllIsAsWithNonePermitted) {
-    SimulatedGossipNetwork lost(4, 6), none(4, 6, false);
+TEST(Gossip, WithAllDatagramsLostPlacementIsAsWithoutGossip) {
+    SimulatedGossipNetwork lost(4, 6);
+    SimulatedGossipNetwork none(4, 6, false);
     lost.copies = [](Datagram&) { return 0; };
     for (SimulatedGossipNetwork* network : {&lost, &none}) {
         network->adopt_on_four_servers(2);
@@ -185,7 +187,7 @@
     }
 }
 
-TEST(Gossip, WhatIsNotToldAgainFades) {
+TEST(Gossip, LoadsThatAreNotPublishedAgainFade) {
     SimulatedGossipNetwork network(4, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
@@ -193,18 +195,20 @@
     network.run(seconds(18));
     EXPECT_GT(network.inspect(1).fleet_trust(network.now), 0);
     EXPECT_LT(network.inspect(1).fleet_trust(network.now), 1);
-    network.run(seconds(40));  // what each counts alone when its turn comes is no sum
+    network.run(seconds(40));  // a reporter that received nothing has no sum to publish
     EXPECT_EQ(network.inspect(1).fleet_trust(network.now), 0);
 }
 
-TEST(Gossip, DoubledLateAndSpoiltOnesDoNoHarm) {
-    SimulatedGossipNetwork clean(6, 4), rough(6, 4);
-    int n = 0;
+TEST(Gossip, DuplicatedLateAndMalformedDatagramsDoNoHarm) {
+    SimulatedGossipNetwork clean(6, 4);
+    SimulatedGossipNetwork rough(6, 4);
+    int datagrams = 0;
     rough.copies = [&](Datagram& datagram) {
-        if (++n % 7 == 0) datagram.bytes[datagram.bytes.size() / 2] = '#';
-        if (n % 11 == 0) datagram.bytes += std::string(300, 'A');
-        if (n % 13 == 0) datagram.bytes[0] = '2';  // a version to come
-        if (n % 17 == 0) datagram.due = datagram.due + seconds(20);
+        ++datagrams;
+        if (datagrams % 7 == 0) datagram.bytes[datagram.bytes.size() / 2] = '#';
+        if (datagrams % 11 == 0) datagram.bytes += std::string(300, 'A');
+        if (datagrams % 13 == 0) datagram.bytes[0] = '2';  // a later version
+        if (datagrams % 17 == 0) datagram.due = datagram.due + seconds(20);
         return 2;
     };
     for (SimulatedGossipNetwork* network : {&clean, &rough}) {
@@ -218,64 +222,65 @@
         EXPECT_LT(rough.inspect(k).fleet_load("s0"), clean.inspect(k).fleet_load("s0") * 1.5);
     }
     BalancingPolicy& policy = clean.policy(0);
-    for (const std::string odd : {"", "1", "1c", "1z000", "1h00", "1h", "1c00000AA0000a", "1s0000000000"})
-        EXPECT_FALSE(policy.on_gossip(clean.now, 1, odd));
+    for (const std::string malformed :
+         {"", "1", "1c", "1z000", "1h00", "1h", "1c00000AA0000a", "1s0000000000"})
+        EXPECT_FALSE(policy.on_gossip(clean.now, 1, malformed));
     EXPECT_FALSE(policy.on_gossip(clean.now, 1, std::string(1000, '1')));
     EXPECT_FALSE(policy.on_gossip(clean.now, 1, std::string("\0\xff{", 3)));
-    for (const int slot : {-1, 0, 6}) EXPECT_FALSE(policy.on_gossip(clean.now, slot, "1h00000"));
+    for (const int replica : {-1, 0, 6}) EXPECT_FALSE(policy.on_gossip(clean.now, replica, "1h00000"));
     EXPECT_TRUE(policy.on_gossip(clean.now, 1, "1h00000"));
 }
 
-// One that lies in its counts, and in the sums that are its turn: a sound server keeps its room.
-TEST(Gossip, OneThatLiesCannotEmptyASoundServer) {
+// Guards against one replica whose counts and sums keep all others away from a server.
+TEST(Gossip, AReplicaThatReportsFalseLoadsCannotEmptyAServer) {
     SimulatedGossipNetwork network(6, 4);
     network.adopt_on_four_servers(2);
     network.copies = [](Datagram& datagram) {
-        const auto told = gossip::parse_message(datagram.bytes);
-        if (datagram.from != 3 || !told || told->kind == gossip::MessageKind::group_locations) return 1;
-        const auto most = [](const char* s) {
-            return gossip::ServerLoad{gossip::ShortServerIds::short_id_of(s), 1500};
+        const auto message = gossip::parse_message(datagram.bytes);
+        if (datagram.from != 3 || !message || message->kind == gossip::MessageKind::group_locations) return 1;
+        const auto false_load = [](const char* server) {
+            return gossip::ServerLoad{gossip::ShortServerIds::short_id_of(server), 1500};
         };
-        datagram.bytes = gossip::encode_round_loads(told->kind, told->round, told->reporter_count, 10,
-                                                    {most("s0"), most("s1")});
+        datagram.bytes = gossip::encode_round_loads(message->kind, message->round, message->reporter_count,
+                                                    10, {false_load("s0"), false_load("s1")});
         return 1;
     };
     for (int rounds = 0; rounds < 14; ++rounds) {
         network.run(seconds(5));
         for (const int k : {0, 1, 2, 4, 5})
-            for (const char* s : {"s0", "s1", "s2", "s3"})
-                EXPECT_TRUE(network.inspect(k).has_room_for_group(network.now, s));
+            for (const char* server : {"s0", "s1", "s2", "s3"})
+                EXPECT_TRUE(network.inspect(k).has_room_for_group(network.now, server));
     }
 }
 
-// The one whose turn it is to sum dies in its round: the next round has another.
-TEST(Gossip, TheTellerDiesInItsRound) {
+TEST(Gossip, ARoundWhoseReporterDiesIsFollowedByAnothers) {
     SimulatedGossipNetwork network(4, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(15) + millis(120));
-    const int teller = static_cast<int>(network.now.ns / seconds(5).ns % 4), other = (teller + 1) % 4;
-    network.replica(teller).is_dead = true;
+    const int reporter = static_cast<int>(network.now.ns / seconds(5).ns % 4);
+    const int other = (reporter + 1) % 4;
+    network.replica(reporter).is_dead = true;
     network.run(seconds(12));
     EXPECT_EQ(network.inspect(other).fleet_trust(network.now), 1);
     EXPECT_GT(network.inspect(other).fleet_total(), 20);
 }
 
-// A peer's word is never ground to send where the own list does not: not listed, or draining.
-TEST(Gossip, AMessageOpensNoServer) {
+// Guards against sending to a server that the own endpoint list does not have, or has as draining.
+TEST(Gossip, AMessageDoesNotMakeAServerSelectable) {
     SimulatedGossipNetwork network(2, 3);
-    Endpoint drains = make_endpoint("s2");
-    drains.state = EndpointState::draining;
-    network.policy(0).on_endpoints(network.now, EndpointUpdateKind::delta, {drains});
-    for (const char* s : {"s2", "elsewhere"})
-        EXPECT_TRUE(network.policy(0).on_gossip(network.now, 1, group_location("play", s)));
+    Endpoint draining = make_endpoint("s2");
+    draining.state = EndpointState::draining;
+    network.policy(0).on_endpoints(network.now, EndpointUpdateKind::delta, {draining});
+    for (const char* server : {"s2", "elsewhere"})
+        EXPECT_TRUE(network.policy(0).on_gossip(network.now, 1, group_location("play", server)));
     for (RequestId id = 1; id < 9; ++id) {
         const ServerId to = network.place(0, id, "play");
         EXPECT_TRUE(to == "s0" || to == "s1");
     }
 }
 
-// What all balancers send a cold server stays in its budget whatever they tell one another of it.
-TEST(Gossip, TheColdBudgetOfAllHoldsWithMessages) {
+// Guards against group locations that send all balancers to one server that warms up.
+TEST(Gossip, WarmUpPermitsOfAllReplicasHoldWithGossip) {
     SimulatedGossipNetwork network(8, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
@@ -285,24 +290,25 @@
         network.policy(k).on_endpoints(network.now, EndpointUpdateKind::delta, {cold});
         network.policy(k).on_gossip(network.now, (k + 1) % 8, group_location("crowd", "s9"));
     }
-    int there = 0;
+    int sent_to_warming = 0;
     for (RequestId id = 1; id <= 160; ++id) {
-        there += network.place(static_cast<int>(id) % 8, id, "crowd") == "s9";
+        if (network.place(static_cast<int>(id) % 8, id, "crowd") == "s9") ++sent_to_warming;
         if (id % 8 == 0) network.run(millis(100));
     }
-    // Up to 224 on five servers, two of its ten seconds of warming: at most 2 x 0.2 of a share, and chance.
-    EXPECT_LE(there, 2 * 0.2 * 224 / 5 + 8);
+    // Up to 224 connections on five servers, two of its ten seconds of slow start: at most 2 x 0.2 of a
+    // share, and chance.
+    EXPECT_LE(sent_to_warming, 2 * 0.2 * 224 / 5 + 8);
 }
 
-// Many balancers, all placing at once: what is told stays in proportion to the calls (i3fa054).
-TEST(Gossip, PairsAreEarnedByCalls) {
+// Guards against group locations that take more bandwidth than the requests.
+TEST(Gossip, PublishedGroupLocationsAreLimitedByRequests) {
     SimulatedGossipNetwork network(60, 6);
     size_t bytes = 0;
     network.copies = [&](Datagram& datagram) {
         if (datagram.bytes[1] == 'h') bytes += datagram.bytes.size();
         return 1;
     };
-    network.adopt_on_four_servers(10);  // stood before: of these nobody has earned anything
+    network.adopt_on_four_servers(10);  // adopted ones do not count
     network.run(seconds(2));
     EXPECT_GT(bytes, 0);
     EXPECT_LE(bytes, 60 * 2400);
@@ -314,8 +320,8 @@
     EXPECT_LE(bytes, 600 * 60 + 60 * 2400);
 }
 
-// Two balancers earn more pairs at once than a message holds: the others are told with the next member.
-TEST(Gossip, WhatDidNotFitIsToldLater) {
+// More group locations at once than a message holds: the others follow with the next request.
+TEST(Gossip, GroupLocationsThatDoNotFitArePublishedLater) {
     SimulatedGossipNetwork network(2, 6);
     std::vector<size_t> sizes;
     network.copies = [&](Datagram& datagram) {
@@ -323,9 +329,11 @@
         return 1;
     };
     for (int times = 0; times < 2; ++times) {
-        for (RequestId g = 0; g < 80; ++g, ++network.next_id)
+        for (int group = 0; group < 80; ++group) {
+            const RequestId id = network.next_id++;
             network.policy(1).on_request_adopted(
-                network.now, make_request(network.next_id, network.now, "", "g" + std::to_string(g)), "s0");
+                network.now, make_request(id, network.now, "", "g" + std::to_string(group)), "s0");
+        }
         network.run(seconds(1));
     }
     EXPECT_EQ(sizes.size(), 2u);
@@ -334,10 +342,11 @@
     EXPECT_LT(sizes[1], sizes[0]);
 }
 
-// Where a crossing is dear, the home near by comes before a holder beyond it.
-TEST(Gossip, NearServersComeBeforeAFarHolder) {
+// Where crossing zones costs.
+TEST(Gossip, PreferredServersNearbyComeBeforeAFarGroupLocation) {
     PolicyConfig config = make_replica_config(0);
-    config.groups = config.gossip_enabled = true;
+    config.groups = true;
+    config.gossip_enabled = true;
     config.replica_count = 2;
     config.cross_zone_cost = 0.1;
     auto&& [actions, policy, inspector] =
@@ -345,7 +354,7 @@
     adopt_connections(policy, cycle_start, "a", 10, 6);
     adopt_connections(policy, cycle_start, "b", 20, 6);
     const auto round = static_cast<uint32_t>(cycle_start.ns / seconds(5).ns % gossip::round_modulus);
-    const TimePoint now = cycle_start + seconds(5.3);  // an odd round, and so the other's
+    const TimePoint now = cycle_start + seconds(5.3);  // an odd round: the other replica's
     EXPECT_TRUE(policy.on_gossip(
         now, 1, gossip::encode_round_loads(gossip::MessageKind::round_sum, round + 1, 2, 24, {})));
     EXPECT_EQ(inspector.fleet_trust(now), 1);
@@ -357,8 +366,8 @@
     EXPECT_EQ(actions.attempts.back().server, "b");
 }
 
-// What was pooled and heard is part of the state that captures and a new process take over.
-TEST(Gossip, AStateBringsPooledKnowledgeAlong) {
+// In captures and across a hot restart.
+TEST(Gossip, AStateCarriesAggregatedLoadsAndGroupLocations) {
     SimulatedGossipNetwork network(4, 6);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
--- a/tests/policy/test_attempts.cpp
+++ b/tests/policy/test_attempts.cpp
@@ -1,9 +1,10 @@
+/// Timeouts, outcomes, failure penalties and the retry budget.
 #include "policy_helpers.h"
 
-TEST(Attempts, TimeOutsLeaveRoomForAFurtherLeg) {
+TEST(Attempts, TimeoutsLeaveTimeForARetry) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     policy.on_request(cycle_start, make_request(1, cycle_start));
-    EXPECT_EQ(actions.attempts[0].timeout, millis(180));  // within the setup target of 300 ms
+    EXPECT_EQ(actions.attempts[0].timeout, millis(180));  // within the setup objective of 300 ms
     TimePoint now = cycle_start + seconds(1.8);
     policy.on_attempt_ended(now, 1, 0, AttemptOutcome::timed_out, seconds(1.8), false, {});
     EXPECT_EQ(actions.attempts[1].timeout, millis(100));  // half of what is left before the deadline
@@ -12,7 +13,7 @@
     EXPECT_EQ(actions.attempts[3].timeout, millis(200));  // the last attempt takes all that is left
 }
 
-TEST(Attempts, LateAndRepeatedOutcomesArePassedOver) {
+TEST(Attempts, LateAndRepeatedOutcomesAreIgnored) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     policy.on_request(cycle_start, make_request(1, cycle_start));
     policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::at_capacity, {}, false, {});
@@ -24,18 +25,20 @@
                             {});  // nor such a request
     EXPECT_EQ(actions.attempts.size(), 2u);
     policy.on_client_gone(cycle_start, 1);
-    policy.on_client_gone(cycle_start, 1);  // Dropped in the same batch as an end
+    policy.on_client_gone(cycle_start, 1);  // in the same batch as an end
     policy.on_attempt_ended(cycle_start, 1, 1, AttemptOutcome::completed, {}, true, {});
     policy.on_attempt_established(cycle_start, 1, 1, {});
     policy.on_load_report(cycle_start, 1, 5);
     EXPECT_EQ(actions.attempts.size(), 2u);
     EXPECT_TRUE(actions.rejected.empty());
     EXPECT_TRUE(actions.failed.empty());
-    for (const ServerId s : {"a", "b"})
-        EXPECT_TRUE(inspector.server(s).pending_attempts == 0 && inspector.server(s).connections.empty());
+    for (const ServerId server : {"a", "b"}) {
+        EXPECT_EQ(inspector.server(server).pending_attempts, 0);
+        EXPECT_TRUE(inspector.server(server).connections.empty());
+    }
 }
 
-TEST(Attempts, DistrustFadesAndTrafficFollowsIt) {
+TEST(Attempts, AFailurePenaltyFadesAndTheShareFollows) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 10, 10);
     adopt_connections(policy, cycle_start, "b", 30, 10);
@@ -47,13 +50,13 @@
     const TimePoint after = cycle_start + seconds(1);
     EXPECT_TRUE(inspector.is_selectable(after, failed));
     EXPECT_LT(inspector.share(after, failed), 8);  // back, at less than its half
-    const double then = inspector.share(after, failed);
-    EXPECT_GT(inspector.share(after + seconds(4), failed), then + 1);
+    const double share = inspector.share(after, failed);
+    EXPECT_GT(inspector.share(after + seconds(4), failed), share + 1);
     EXPECT_LT(inspector.failure_penalty(cycle_start + seconds(40), failed), 0.01);
 }
 
-// A server that takes calls and answers none: the skip grows, and one attempt at a time tries it.
-TEST(Attempts, AFailingServerIsTriedByOneLegAtATime) {
+// Guards against many attempts at a server that accepts requests and answers none.
+TEST(Attempts, AFailingServerGetsOneAttemptAtATime) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     inspector.consecutive_failures("a") = 1;
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "a"));
@@ -63,17 +66,17 @@
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "a"));
 }
 
-// When all fail, the skipped are tried again rather than none.
-TEST(Attempts, EveryServerFailingStillGetsCalls) {
+// Guards against rejecting everything when every server has just failed.
+TEST(Attempts, RequestsGoOutWhenAllServersAreInBackoff) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
-    for (const ServerId s : {"a", "b"}) inspector.record_failure(cycle_start, s);
-    for (const ServerId s : {"a", "b"}) EXPECT_FALSE(inspector.is_selectable(cycle_start, s));
+    for (const ServerId server : {"a", "b"}) inspector.record_failure(cycle_start, server);
+    for (const ServerId server : {"a", "b"}) EXPECT_FALSE(inspector.is_selectable(cycle_start, server));
     policy.on_request(cycle_start, make_request(1, cycle_start));
     EXPECT_EQ(actions.attempts.size(), 1u);
 }
 
-// A crash is told apart from single breaks: all go at once, and what answers next is a new, cold process.
-TEST(Attempts, ACrashedServerIsColdBeforeTheListSaysSo) {
+// All connections are reset at once: the next to answer there is a new process. A single reset is no crash.
+TEST(Attempts, ACrashedServerWarmsUpBeforeTheEndpointListSaysSo) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 10, 6);
     adopt_connections(policy, cycle_start, "b", 30, 6);
@@ -91,23 +94,24 @@
     EXPECT_LT(inspector.share(now + seconds(1), "a"), 1);
 }
 
-// Everything fails at once. What may have cost a server its work is asked for again for two requests and a
-// fifth of those of the last seconds; the others are told at once when to come back, and an attempt that none
-// may follow has all the time. Attempts that cannot have run cost nothing and are not counted.
-TEST(Attempts, RepeatedLegsHaveABudget) {
-    std::vector<Endpoint> list = make_endpoints(20);
-    for (const auto& [how, attempts, rejected] : {std::tuple(AttemptOutcome::timed_out, 25u, 19u),
-                                                  {AttemptOutcome::error, 25u, 19u},
-                                                  {AttemptOutcome::reset, 25u, 19u},
-                                                  {AttemptOutcome::connect_failed, 76u, 19u},
-                                                  {AttemptOutcome::at_capacity, 76u, 19u}}) {
-        auto&& [actions, policy, inspector] = PolicyFixture(list);
+// Guards against retries that multiply the load when everything fails. Retries of attempts that may have run:
+// two and a fifth of the requests of the last seconds; the other requests are rejected with a retry-after. An
+// attempt that no retry may follow has all the time. Attempts that cannot have run are not counted.
+TEST(Attempts, RetriesHaveABudget) {
+    const std::vector<Endpoint> endpoints = make_endpoints(20);
+    for (const auto& [outcome, attempts, rejected] : {std::tuple(AttemptOutcome::timed_out, 25u, 19u),
+                                                      {AttemptOutcome::error, 25u, 19u},
+                                                      {AttemptOutcome::reset, 25u, 19u},
+                                                      {AttemptOutcome::connect_failed, 76u, 19u},
+                                                      {AttemptOutcome::at_capacity, 76u, 19u}}) {
+        auto&& [actions, policy, inspector] = PolicyFixture(endpoints);
         std::vector<int> ended(20);
         for (RequestId id = 1; id <= 19; ++id) policy.on_request(cycle_start, make_request(id, cycle_start));
         // NOLINTNEXTLINE(modernize-loop-convert): each outcome may add another attempt to the list.
         for (size_t at = 0; at < actions.attempts.size(); ++at) {
             const RequestId id = actions.attempts[at].request;
-            policy.on_attempt_ended(cycle_start + millis(50), id, ended[id]++, how, millis(50), false, {});
+            policy.on_attempt_ended(cycle_start + millis(50), id, ended[id]++, outcome, millis(50), false,
+                                    {});
         }
         EXPECT_EQ(actions.attempts.size(), attempts);
         EXPECT_EQ(actions.rejected.size(), rejected);
--- a/tests/policy/test_endpoints.cpp
+++ b/tests/policy/test_endpoints.cpp
@@ -1,10 +1,11 @@
+/// Endpoint updates, polls, restarts and stray timers.
 #include "policy_helpers.h"
 
 static EndpointState endpoint_state(BalancingPolicy& policy, const ServerId& server) {
     return PolicyInspector{policy}.server(server).endpoint.state;
 }
 
-TEST(Endpoints, AbsenceFromAFullListMeansGone) {
+TEST(Endpoints, AbsenceFromASnapshotMeansRemoved) {
     RecordingActions actions;
     BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     policy.on_endpoints(cycle_start, EndpointUpdateKind::cached, {make_endpoint("a"), make_endpoint("old")});
@@ -17,40 +18,38 @@
     EXPECT_EQ(endpoint_state(policy, "a"), EndpointState::active);  // the list before a failure stays valid
 }
 
-TEST(Endpoints, AsksAgainAfterAFailureAtABoundedPace) {
+TEST(Endpoints, PollsAgainAfterAnErrorWithABoundedBackoff) {
     RecordingActions actions;
     PolicyConfig config = make_config();
     config.polls_endpoints = true;
     BalancingPolicy policy(config, 1, actions, cycle_start);
     EXPECT_EQ(actions.watch_requests, 1);
     TimePoint now = cycle_start;
-    int asks = 1;
+    int polls = 1;
     for (int k = 0; k < 12; ++k) {
         actions.take_timers();
         policy.on_endpoints(now, EndpointUpdateKind::error, {});
         const auto timers = actions.take_timers();
         EXPECT_EQ(timers.size(), 1u);
-        const Duration pause = timers[0].due - now;
-        EXPECT_GE(pause, millis(200));
-        EXPECT_LE(pause, seconds(2.6));  // far within what lets drains be deemed told
+        const Duration backoff = timers[0].due - now;
+        EXPECT_GE(backoff, millis(200));
+        EXPECT_LE(backoff, seconds(2.6));  // far below the time after which drains count as known
         now = timers[0].due;
         policy.on_timer(now, timers[0].token);
-        EXPECT_EQ(actions.watch_requests, ++asks);
+        EXPECT_EQ(actions.watch_requests, ++polls);
     }
     const auto no_timers = actions.take_timers();
     policy.on_endpoints(now, EndpointUpdateKind::delta, {make_endpoint("a")});
-    policy.on_endpoints(now, EndpointUpdateKind::error, {});  // the subscription broke
+    policy.on_endpoints(now, EndpointUpdateKind::error, {});  // the watch broke
     for (const auto& [at, token] : actions.take_timers()) policy.on_timer(at, token);
     EXPECT_TRUE(no_timers.empty());
-    EXPECT_EQ(actions.watch_requests, asks + 1);
+    EXPECT_EQ(actions.watch_requests, polls + 1);
 }
 
-// The same id with a later start is a new process: nothing held against the old one counts, nor its
-// connections.
-TEST(Endpoints, ARestartUnderTheSameIdBeginsAnew) {
+// The same id with a later start is a new process: failures, limits and connections of the old one are gone.
+TEST(Endpoints, ARestartUnderTheSameIdForgetsTheOldProcess) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 3);
-    ServerState& s = inspector.server("a");
     inspector.recorded_penalty("a") = 5;
     inspector.penalty_at("a") = cycle_start;
     inspector.consecutive_failures("a") = 4;
@@ -65,18 +64,17 @@
     EXPECT_EQ(inspector.failure_penalty(now, "a"), 0);
     EXPECT_TRUE(inspector.is_selectable(now, "a"));
     EXPECT_EQ(inspector.excess("a").max_bucket(now), 0);
-    EXPECT_TRUE(s.connections.empty());
+    EXPECT_TRUE(inspector.server("a").connections.empty());
     EXPECT_FALSE(inspector.has_load_limit(now, "a"));
     EXPECT_EQ(inspector.started("a"), restarted.launched);
-    EXPECT_EQ(actions.migrated.size(), 3u);  // their clients would wait on a process that does not know them
-    policy.on_endpoints(now, EndpointUpdateKind::delta, {restarted});  // told twice: nothing begins anew
+    EXPECT_EQ(actions.migrated.size(), 3u);  // their connections have gone with the old process
+    policy.on_endpoints(now, EndpointUpdateKind::delta, {restarted});  // received twice: nothing begins anew
     EXPECT_EQ(inspector.started("a"), restarted.launched);
     EXPECT_EQ(actions.migrated.size(), 3u);
 }
 
-// By a wall clock that was stepped back before this process began: the server is as cold as it can be, and
-// warms up from now on, once.
-TEST(Endpoints, AServerThatLooksStartedInTheFutureWarmsUpFromNowOn) {
+// After a step of the wall clock: the server warms up from now on, once.
+TEST(Endpoints, AServerThatSeemsToStartInTheFutureWarmsUpFromNowOn) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     Endpoint ahead = make_endpoint("b");
     ahead.launched = cycle_start + seconds(3600);
@@ -87,7 +85,7 @@
     EXPECT_EQ(inspector.started("b"), now);
 }
 
-TEST(Endpoints, TimersThatMeanNothingArePassedOver) {
+TEST(Endpoints, UnknownTimersAreIgnored) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     actions.take_timers();
     for (const uint64_t token : {0ULL, 255ULL, 3ULL | 77ULL << 8, ~0ULL}) policy.on_timer(cycle_start, token);
--- a/tests/policy/test_rebalancing.cpp
+++ b/tests/policy/test_rebalancing.cpp
@@ -1,37 +1,37 @@
+/// Rebalance cycles, protected keys and ejection at the end of a cycle.
 #include "policy_helpers.h"
 
-TEST(Rebalancing, PhaseComesFromTheClockAlone) {
+TEST(Rebalancing, ThePhaseComesFromTheClockAlone) {
     RecordingActions actions;
     const TimePoint started = cycle_start + seconds(3.7);
     BalancingPolicy policy(make_config(), 1, actions, started);
     EXPECT_EQ(actions.timers.at(0).due, cycle_start + seconds(10));
 }
 
-TEST(Rebalancing, ASaturatedServerShedsASixthOfTheLargestExcess) {
+TEST(Rebalancing, ASaturatedServerMigratesASixthOfTheLargestExcess) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 40);
     adopt_connections(policy, cycle_start, "b", 100, 4);
     inspector.plan_migrations(cycle_start);
-    EXPECT_EQ(inspector.surplus("a"), 3);  // 18 over share, a sixth
+    EXPECT_EQ(inspector.surplus("a"), 3);  // 18 over its share, a sixth
     EXPECT_EQ(inspector.surplus("b"), 0);
     EXPECT_FALSE(inspector.is_draining("b"));
     inspector.is_draining("a") = false;
-    adopt_connections(policy, cycle_start, "b", 200, 17);  // 9.5 over share: under the floor
+    adopt_connections(policy, cycle_start, "b", 200, 17);  // 9.5 over its share: below the minimum
     inspector.plan_migrations(cycle_start);
     EXPECT_FALSE(inspector.is_draining("a"));
 }
 
-// The grown deployments: where a balancer's share of a server is a tenth of a connection, three of a group on
-// one server were an excess in every term, and the requests were moved about all day.
+// Guards against requests that are migrated all the time where a share is a tenth of a connection.
 TEST(Rebalancing, AFewConnectionsAreNoExcessHoweverSmallTheShare) {
     auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(26));
     adopt_connections(policy, cycle_start, "A", 1, 4);
-    for (int term = 0; term < 6; ++term) inspector.plan_migrations(cycle_start + seconds(10 * term));
+    for (int cycle = 0; cycle < 6; ++cycle) inspector.plan_migrations(cycle_start + seconds(10 * cycle));
     EXPECT_EQ(inspector.surplus("A"), 0);
     EXPECT_FALSE(inspector.is_draining("A"));
 }
 
-TEST(Rebalancing, TheMemoryOfSixTermsGoesOn) {
+TEST(Rebalancing, TheExcessOfSixCyclesIsRemembered) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 30);
     adopt_connections(policy, cycle_start, "b", 100, 8);
@@ -40,7 +40,7 @@
     EXPECT_EQ(inspector.surplus("a"), 3);
 }
 
-TEST(Rebalancing, KeysBackInThePauseAreSparedThenGoFirst) {
+TEST(Rebalancing, KeysThatReconnectInThePauseAreProtectedThenMigrateFirst) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("full"), make_endpoint("broken")});
     adopt_connections(policy, cycle_start, "full", 1, 20);
     const TimePoint pause = cycle_start + seconds(7);
@@ -56,8 +56,8 @@
     EXPECT_EQ(inspector.select_migration(pause, "full"), 77);
 }
 
-// Incident i14adcf: spared keys piled up on servers whose messages took two seconds, and none could be moved.
-TEST(Rebalancing, SparingDoesNotHoldConnectionsOnASlowServer) {
+// Guards against protected keys that pile up on a slow server.
+TEST(Rebalancing, ProtectionDoesNotKeepConnectionsOnASlowServer) {
     auto&& [actions, policy, inspector] =
         PolicyFixture({make_endpoint("slow"), make_endpoint("a"), make_endpoint("broken")});
     adopt_connections(policy, cycle_start, "slow", 1, 4);
@@ -68,11 +68,11 @@
     const TimePoint pause = cycle_start + seconds(7);
     inspector.record_failover(pause, make_request(0, pause, "k"), "broken");
     for (RequestId id = 10; id < 20; ++id) policy.on_request(pause, make_request(id, pause, "k"));
-    for (const auto& s : actions.attempts)
-        EXPECT_EQ(s.server, "a");  // slow is at its ceiling, also for keys to be spared
+    // "slow" is at its load limit, also for keys that would be protected.
+    for (const auto& attempt : actions.attempts) EXPECT_EQ(attempt.server, "a");
 }
 
-TEST(Rebalancing, TheTableOfKeysIsBoundedAndAged) {
+TEST(Rebalancing, TheFailoverTableIsBoundedAndForgetsOldKeys) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     for (int k = 0; k < 5000; ++k)
         inspector.record_failover(cycle_start, make_request(0, cycle_start, std::to_string(k)), "a");
@@ -81,7 +81,7 @@
     EXPECT_EQ(inspector.recorded_failovers(), 1u);
 }
 
-TEST(Rebalancing, AServerThatKeepsTooFewLeavesTheShares) {
+TEST(Rebalancing, AServerThatKeepsTooFewConnectionsIsEjected) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "b", 1, 10);
     inspector.request(1).is_protected = true;
--- a/tests/policy/test_scale.cpp
+++ b/tests/policy/test_scale.cpp
@@ -1,58 +1,61 @@
-// Fleets and tiers of any size: one balancer holding hundreds of connections, hundreds holding a few each.
+/// Fleets of any size: one balancer with hundreds of connections, hundreds with a few each.
 #include "policy_helpers.h"
 
-// Where the first call of each of `tier` balancers goes.
-static std::vector<ServerId> first_choices(int tier, const std::vector<Endpoint>& list,
-                                           const std::string& group = "") {
-    std::vector<ServerId> chosen;
-    for (int k = 0; k < tier; ++k) {
+/// Where the first request of each of `replica_count` balancers goes, as requests by server.
+static std::map<ServerId, int> first_choices(int replica_count, const std::vector<Endpoint>& endpoints,
+                                             const std::string& group = "") {
+    std::map<ServerId, int> requests;
+    for (int k = 0; k < replica_count; ++k) {
         auto&& [actions, policy, inspector] =
-            PolicyFixture(list, make_replica_config(static_cast<uint64_t>(k)));
+            PolicyFixture(endpoints, make_replica_config(static_cast<uint64_t>(k)));
         policy.on_request(cycle_start, make_request(1, cycle_start, "", group));
         EXPECT_EQ(actions.attempts.size(), 1u);
-        chosen.push_back(actions.attempts[0].server);
+        ++requests[actions.attempts[0].server];
     }
-    return chosen;
+    return requests;
 }
 
-// With a share of a tenth no server stays below it with a connection counted: all balancers sent every
-// request to the server of the largest weight.
+// Guards against sending every request to the server of the largest weight where each share is below one
+// connection.
 TEST(Scale, SharesUnderOneConnectionReachEveryServerByWeight) {
-    std::map<ServerId, int> requests;
-    for (const ServerId& s : first_choices(600, make_endpoints(40))) ++requests[s];
+    const std::map<ServerId, int> requests = first_choices(600, make_endpoints(40));
     EXPECT_EQ(requests.size(), 40u);  // a server of weight 1 gets 10 of 600, one of weight 2 gets 20
-    int light = 0, most = 0;
-    for (const auto& [s, n] : requests) light += (s[0] - 'A') % 2 == 0 ? n : 0, most = std::max(most, n);
-    EXPECT_GT(light, 140);
-    EXPECT_LT(light, 260);
+    int at_weight_one = 0;
+    int most = 0;
+    for (const auto& [server, count] : requests) {
+        if ((server[0] - 'A') % 2 == 0) at_weight_one += count;
+        most = std::max(most, count);
+    }
+    EXPECT_GT(at_weight_one, 140);
+    EXPECT_LT(at_weight_one, 260);
     EXPECT_LT(most, 45);
 }
 
-TEST(Scale, OneServerMoreOrLessChangesFewMembersOfTheSubsets) {
+TEST(Scale, OneMoreServerChangesFewMembersOfTheSubsets) {
     int changed = 0;
     for (uint64_t k = 0; k < 200; ++k) {
         auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
         const std::vector<ServerId> before = inspector.subset(5);
         policy.on_endpoints(cycle_start, EndpointUpdateKind::snapshot, make_endpoints(41));
-        for (const ServerId& s : inspector.subset(5)) changed += !std::count(before.begin(), before.end(), s);
+        for (const ServerId& server : inspector.subset(5))
+            if (std::count(before.begin(), before.end(), server) == 0) ++changed;
     }
     EXPECT_GT(changed, 0);
-    EXPECT_LT(changed, 50);  // of 1,000; its own part of them is 17 or 33
+    EXPECT_LT(changed, 50);  // of 1,000; the new server's part of them is 17 or 33
 }
 
-// Every balancer that shares nothing with the others must send a group to the same few servers.
-TEST(Scale, BalancersAgreeOnAGroupsHome) {
-    std::map<ServerId, int> requests;
-    for (const ServerId& s : first_choices(300, make_endpoints(40), "g")) ++requests[s];
+// Balancers without gossip send a group to the same few servers.
+TEST(Scale, BalancersAgreeOnAGroupsPreferredServers) {
+    const std::map<ServerId, int> requests = first_choices(300, make_endpoints(40), "g");
     int most = 0;
-    for (const auto& [s, n] : requests) most = std::max(most, n);
+    for (const auto& [server, count] : requests) most = std::max(most, count);
     EXPECT_LE(requests.size(), 4u);
     EXPECT_GT(most, 150);
 }
 
-// i8e85f8: of 1,587 groups each balancer saw one member and opened it on up to five servers.
-TEST(Scale, ABalancerThatHoldsNoTwoOfAGroupTakesGroupsForSmall) {
-    const auto home = [](bool pairs) {
+// Guards against a small group that is spread over many servers, as each balancer sees one request of it.
+TEST(Scale, ABalancerWithoutTwoRequestsOfAGroupTakesGroupsForSmall) {
+    const auto count_servers = [](bool has_groups_of_four) {
         std::map<ServerId, int> requests;
         for (uint64_t k = 0; k < 100; ++k) {
             auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
@@ -60,68 +63,69 @@
                 policy.on_request_adopted(
                     cycle_start,
                     make_request(id, cycle_start, "",
-                                 ServerId(1, static_cast<char>('h' + (pairs ? id / 4 : id)))),
+                                 ServerId(1, static_cast<char>('h' + (has_groups_of_four ? id / 4 : id)))),
                     ServerId(1, static_cast<char>('A' + id)));
             policy.on_request(cycle_start, make_request(100, cycle_start, "", "g"));
             ++requests[actions.attempts.at(0).server];
         }
         return requests.size();
     };
-    EXPECT_LE(home(false), 2);
-    EXPECT_GT(home(true), home(false));
+    EXPECT_LE(count_servers(false), 2);
+    EXPECT_GT(count_servers(true), count_servers(false));
 }
 
-// i61ff1f: what one balancer shed another brought back, as it held nothing there and knew of nothing slow.
-TEST(Scale, ServersNotHeardOfAreSlowAsOftenAsTheOthers) {
-    int refused = 0;
+// Guards against requests that go back to a slow server through a balancer that has no connection there.
+TEST(Scale, ServersWithoutALatencyReportCountAsSlowAsOftenAsTheOthers) {
+    int rejecting = 0;
     for (uint64_t k = 0; k < 100; ++k) {
         auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
         for (RequestId id = 1; id <= 9; ++id) {
-            const ServerId s(1, static_cast<char>('A' + id));
-            adopt_connections(policy, cycle_start, s, id, 1);
-            if (id <= 8) policy.on_latency_report(cycle_start, s, 900);
+            const ServerId server(1, static_cast<char>('A' + id));
+            adopt_connections(policy, cycle_start, server, id, 1);
+            if (id <= 8) policy.on_latency_report(cycle_start, server, 900);
         }
         policy.on_request(cycle_start, make_request(100, cycle_start, "", "g"));
-        refused += !actions.rejected.empty();
+        if (!actions.rejected.empty()) ++rejecting;
     }
-    EXPECT_GT(refused, 60);
-    EXPECT_LT(refused, 98);
+    EXPECT_GT(rejecting, 60);
+    EXPECT_LT(rejecting, 98);
 }
 
-// ief3d44: every balancer hears the same note, and all cut a server off alike. Each sheds its one connection
-// by chance, so that together they shed the part that is too much, and only once.
-TEST(Scale, HundredsShedAPartBetweenThem) {
-    int shed = 0;
+// Guards against balancers that all migrate everything after the same latency report. Each migrates its one
+// connection at random, so that together they migrate the surplus, and only once.
+TEST(Scale, HundredsOfBalancersMigrateTheSurplusBetweenThem) {
+    int migrated = 0;
     for (uint64_t k = 0; k < 300; ++k) {
         auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(40), make_replica_config(k));
         adopt_connections(policy, cycle_start, "A", 1, 1);
         TimePoint now = cycle_start;
-        for (const double ms : {600, 500, 400}) {  // the backlog goes down by itself after the first note
-            policy.on_latency_report(now, "A", ms);
+        for (const double latency_ms :
+             {600, 500, 400}) {  // the backlog falls by itself after the first report
+            policy.on_latency_report(now, "A", latency_ms);
             now = now + seconds(1);
-            for (const auto& [at, token] : actions.take_timers())
-                if ((token & 0xff) == 3) policy.on_timer(now, token);
+            for (const auto& timer : actions.take_timers())
+                if (timer.is(TimerKind::migrate_next)) policy.on_timer(now, timer.token);
         }
-        shed += static_cast<int>(actions.migrated.size());
+        migrated += static_cast<int>(actions.migrated.size());
     }
-    EXPECT_GT(shed, 150);
-    EXPECT_LT(shed, 240);  // 54 % on the first note, 17 % of the rest on each other
+    EXPECT_GT(migrated, 150);
+    EXPECT_LT(migrated, 240);  // 54 % on the first report, 17 % of the rest on each other
 }
 
-TEST(Scale, ANearServerComesFirstWhereCrossingIsDear) {
-    for (const double price : {0.0, 0.1}) {
+TEST(Scale, AServerOfTheSameZoneComesFirstWhereCrossingCosts) {
+    for (const double cost : {0.0, 0.1}) {
         PolicyConfig config = make_config();
-        config.cross_zone_cost = price;
+        config.cross_zone_cost = cost;
         auto&& [actions, policy, inspector] =
             PolicyFixture({make_endpoint("near", 1, 0), make_endpoint("far", 1, 1)}, config);
         adopt_connections(policy, cycle_start, "near", 1, 30);
         const double share = inspector.share(cycle_start, "far");
-        EXPECT_TRUE(price > 0 ? share < 6 : share > 14);
+        EXPECT_TRUE(cost > 0 ? share < 6 : share > 14);
     }
 }
 
-// Lists as no operator means them: sane shares or an answer in time, never a crash nor a division by nothing.
-TEST(Scale, OddListsLeaveSaneShares) {
+// Guards against a crash or a division by zero.
+TEST(Scale, UnusualEndpointListsLeaveValidShares) {
     auto&& [idle_actions, idle_policy, idle_inspector] = PolicyFixture({});
     idle_policy.on_request(cycle_start, make_request(1, cycle_start, "", "g"));
     idle_policy.on_timer(cycle_start, 1);
@@ -137,33 +141,35 @@
     adopt_connections(policy, cycle_start, "a", 1, 10);
     EXPECT_EQ(inspector.share(cycle_start, "a"), 5);
     EXPECT_EQ(inspector.share(cycle_start, "b"), 5);
-    Endpoint gone = make_endpoint("a");
-    gone.state = EndpointState::removed;
-    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, {gone});
+    Endpoint removed = make_endpoint("a");
+    removed.state = EndpointState::removed;
+    policy.on_endpoints(cycle_start, EndpointUpdateKind::delta, {removed});
     EXPECT_EQ(inspector.share(cycle_start, "b"), 10);
     policy.on_endpoints(cycle_start, EndpointUpdateKind::delta,
-                        {make_endpoint("a"), make_endpoint("a")});  // back under the same name, twice
+                        {make_endpoint("a"), make_endpoint("a")});  // back under the same id, twice
     policy.on_endpoints(cycle_start, EndpointUpdateKind::cached,
-                        {make_endpoint("b"), make_endpoint("old")});  // older than the one held
+                        {make_endpoint("b"), make_endpoint("old")});  // older than the current one
     policy.on_request(cycle_start, make_request(50, cycle_start));
     EXPECT_EQ(actions.attempts.size(), 1u);
     EXPECT_NE(actions.attempts[0].server, "a");
 }
 
-// 1,100 servers and as many balancers, half of the servers cold, messages permitted: every server is used by
-// somebody, and the words of the last balancer are understood.
-TEST(Scale, OverAThousandServersAndBalancers) {
+// 1,100 servers and as many balancers, half of the servers warming up, with gossip: the last replica's
+// messages are understood.
+TEST(Scale, EveryServerIsUsedWithOverAThousandServersAndBalancers) {
     constexpr int many = 1100;
-    std::vector<Endpoint> list;
+    std::vector<Endpoint> endpoints;
     for (int k = 0; k < many; ++k) {
-        list.push_back(make_endpoint("s-" + std::to_string(k)));
-        if (k % 2) list.back().launched = cycle_start - seconds(4);
+        endpoints.push_back(make_endpoint("s-" + std::to_string(k)));
+        if (k % 2 == 1) endpoints.back().launched = cycle_start - seconds(4);
     }
     std::map<ServerId, int> requests;
-    for (uint64_t slot = 0; slot < many; slot += 10) {
-        PolicyConfig config = make_replica_config(slot);
-        config.replica_count = many, config.gossip_enabled = true, config.quota = 20.0 * many;
-        auto&& [actions, policy, inspector] = PolicyFixture(list, config);
+    for (uint64_t index = 0; index < many; index += 10) {
+        PolicyConfig config = make_replica_config(index);
+        config.replica_count = many;
+        config.gossip_enabled = true;
+        config.quota = 20.0 * many;
+        auto&& [actions, policy, inspector] = PolicyFixture(endpoints, config);
         for (RequestId id = 1; id <= 30; ++id) {
             const TimePoint now = cycle_start + seconds(2) + millis(static_cast<double>(id));
             policy.on_request(now, make_request(id, now));
@@ -171,21 +177,23 @@
             EXPECT_TRUE(actions.rejected.empty());
             ++requests[actions.attempts.back().server];
         }
-        if (slot == 0) {
+        if (index == 0) {
             PolicyConfig last = config;
             last.replica_index = many - 1;
-            auto&& [last_actions, last_policy, last_inspector] = PolicyFixture(list, last);
+            auto&& [last_actions, last_policy, last_inspector] = PolicyFixture(endpoints, last);
             adopt_connections(last_policy, cycle_start, "s-1099", 1, 3);
-            for (const auto& [at, token] : last_actions.take_timers())
-                last_policy.on_timer(std::max(at, cycle_start), token);
+            for (const auto& [due, token] : last_actions.take_timers())
+                last_policy.on_timer(std::max(due, cycle_start), token);
             EXPECT_FALSE(last_actions.gossip.empty());
-            for (const auto& [to, bytes] : last_actions.gossip)
-                EXPECT_TRUE(bytes.size() <= 256 &&
-                            policy.on_gossip(cycle_start + seconds(3), many - 1, bytes));
+            for (const auto& [receiver, bytes] : last_actions.gossip) {
+                EXPECT_LE(bytes.size(), 256);
+                EXPECT_TRUE(policy.on_gossip(cycle_start + seconds(3), many - 1, bytes));
+            }
         }
     }
-    size_t cold = 0;
-    for (const auto& [id, n] : requests) cold += (id.back() - '0') % 2;
+    size_t used_and_warming = 0;
+    for (const auto& [server, count] : requests)
+        if ((server.back() - '0') % 2 == 1) ++used_and_warming;
     EXPECT_GT(requests.size(), many / 2);
-    EXPECT_GT(cold, many / 5);
+    EXPECT_GT(used_and_warming, many / 5);
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -8,6 +8,7 @@
 
 #include "base/hash.h"
 #include "policy/balancing_policy.h"
+#include "policy/timers.h"
 
 namespace headrouter {
 
@@ -21,6 +22,7 @@
     struct Timer {
         TimePoint due;
         uint64_t token;
+        bool is(TimerKind kind) const { return kind_of_timer(token) == kind; }
     };
     struct PublishedGossip {
         int replica;  ///< to whom: a replica index or `everyone_else`
