--- a/tests/capture/captured.h
+++ b/tests/capture/captured.h
@@ -19,7 +19,7 @@
 /// Keeps a segment in memory.
 struct MemoryRecorder : EventRecorder {
     std::string bytes;
-    Block open;
+    Block open_block;
     bool wants_new_state = true;
     uint32_t segment = 0;
     bool wants_state() const override { return wants_new_state; }
@@ -32,15 +32,15 @@
         wants_new_state = false;
     }
     void record(TimePoint now, std::string_view text) override {
-        if (open.bytes.empty()) open.first = now;
-        open.last = now;
-        ++open.count;
-        append_frame(open.bytes, text);
+        if (open_block.bytes.empty()) open_block.first = now;
+        open_block.last = now;
+        ++open_block.count;
+        append_frame(open_block.bytes, text);
     }
     void finish_block() {
-        if (open.bytes.empty()) return;
-        bytes += encode(open);
-        open = Block{};
+        if (open_block.bytes.empty()) return;
+        bytes += encode(open_block);
+        open_block = Block{};
     }
     std::string finish() {
         finish_block();
@@ -56,7 +56,7 @@
     std::vector<std::pair<RequestId, std::pair<ServerId, int>>> established;
     std::unordered_map<RequestId, int> attempt_counts;
     Pcg32 random{9};
-    RequestId next = 0;
+    RequestId last_id = 0;
     explicit ScriptedDay(EventRecorder* recorder, PolicyConfig config = grouped(), uint64_t seed = 3)
         : policy(std::move(config), seed, *this, cycle_start) {
         policy.record_to(recorder);
@@ -74,10 +74,10 @@
     void answer_attempts() {
         for (const StartedAttempt& started : std::exchange(attempts, {})) {
             const int attempt = attempt_counts[started.request]++;
-            const double u = random.uniform();
-            if (u < 0.1) {
+            const double draw = random.uniform();
+            if (draw < 0.1) {
                 policy.on_attempt_ended(now, started.request, attempt,
-                                        u < 0.05 ? AttemptOutcome::at_capacity : AttemptOutcome::error,
+                                        draw < 0.05 ? AttemptOutcome::at_capacity : AttemptOutcome::error,
                                         millis(3), false, {});
                 answer_attempts();
             } else {
@@ -98,9 +98,9 @@
         }
     }
     void send_request() {
-        ++next;
-        const Request arriving =
-            make_request(next, now, "key" + std::to_string(next % 50), "group" + std::to_string(next % 13));
+        ++last_id;
+        const Request arriving = make_request(last_id, now, "key" + std::to_string(last_id % 50),
+                                              "group" + std::to_string(last_id % 13));
         policy.on_request(now, arriving);
         answer_attempts();
     }
@@ -117,6 +117,7 @@
             if (k % 40 == 39) policy.on_latency_report(now, "B", 20 + k);
         }
     }
+    /// Resets all connections of a server.
     void crash(const ServerId& server) {
         std::erase_if(established, [&](const auto& entry) {
             if (entry.second.first != server) return false;
@@ -125,7 +126,7 @@
             return true;
         });
     }
-    // A third of the servers die together and come back cold, then a burst.
+    /// A third of the servers die together and come back cold, then a burst.
     void play_bad_day(int scale = 1) {
         update_endpoints(make_endpoints(6));
         send_requests(60 * scale, millis(40));
@@ -148,13 +149,24 @@
     }
 };
 
-inline std::string small_capture(int scale = 1) {
+/// The bytes of a segment with one bad day.
+inline std::string record_bad_day(int scale = 1) {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.play_bad_day(scale);
     return recorder.finish();
 }
 
+/// A source for `read_segment` that reads from memory. `bytes` must outlive it.
+inline auto reader_of(std::string_view bytes) {
+    return [bytes](char* into, size_t size) mutable {
+        size = std::min(size, bytes.size());
+        bytes.copy(into, size);
+        bytes.remove_prefix(size);
+        return size;
+    };
+}
+
 /// Removed with all its files at the end.
 struct TemporaryFolder {
     std::string path =
@@ -166,7 +178,7 @@
     TemporaryFolder(const TemporaryFolder&) = delete;
     TemporaryFolder& operator=(const TemporaryFolder&) = delete;
     ~TemporaryFolder() { std::filesystem::remove_all(path); }
-    std::string file(const std::string& bytes, const std::string& name = "x.hrc") const {
+    std::string write_file(const std::string& bytes, const std::string& name = "x.hrc") const {
         std::ofstream(path + "/" + name, std::ios::binary) << bytes;
         return path + "/" + name;
     }
--- a/tests/capture/test_recorder.cpp
+++ b/tests/capture/test_recorder.cpp
@@ -9,19 +9,20 @@
 using namespace headrouter::capture;
 using Outcome = ReplayResult::Outcome;
 
-static RecorderConfig keeping(const TemporaryFolder& folder) {
+static RecorderConfig make_recorder_config(const TemporaryFolder& folder) {
     RecorderConfig config;
     config.folder = folder.path;
     return config;
 }
-static bool soon(const std::function<bool()>& holds) {
+/// Waits until `holds` returns true, for ten seconds at most.
+static bool holds_soon(const std::function<bool()>& holds) {
     for (int k = 0; k < 2000 && !holds(); ++k) std::this_thread::sleep_for(std::chrono::milliseconds(5));
     return holds();
 }
 
-TEST(Recorder, WhatIsRecordedReplaysAcrossItsSegments) {
+TEST(Recorder, ARecordingReplaysAcrossItsSegments) {
     const TemporaryFolder folder;
-    RecorderConfig config = keeping(folder);
+    RecorderConfig config = make_recorder_config(folder);
     config.segment_bytes = 60'000;
     uint64_t frames = 0;
     {
@@ -40,9 +41,9 @@
     EXPECT_EQ(replay({paths[1]}).outcome, Outcome::same);  // each by itself
 }
 
-TEST(Recorder, AStalledDiskDropsSaysSoAndGoesOnWithANewState) {
+TEST(Recorder, AStalledDiskDropsEventsThenRecordsANewState) {
     const TemporaryFolder folder;
-    RecorderConfig config = keeping(folder);
+    RecorderConfig config = make_recorder_config(folder);
     config.queue_bytes = 100'000;
     uint64_t dropped = 0;
     {
@@ -53,7 +54,7 @@
         dropped = recorder.dropped();
         EXPECT_GT(dropped, 100);
         recorder.stall_for_test(false);
-        EXPECT_TRUE(soon([&] { return segments_at(folder.path).size() == 1; }));
+        EXPECT_TRUE(holds_soon([&] { return segments_at(folder.path).size() == 1; }));
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
         day.send_requests(30, millis(20));
         day.policy.record_to(nullptr);
@@ -69,21 +70,21 @@
     EXPECT_EQ(replay({paths.back()}).outcome, Outcome::same);
 }
 
-TEST(Recorder, AFolderThatIsGoneIsAFaultAndCallsGoOn) {
+TEST(Recorder, AMissingFolderIsAFaultAndRequestsGoOn) {
     TemporaryFolder folder;
-    RecorderConfig config = keeping(folder);
+    RecorderConfig config = make_recorder_config(folder);
     std::filesystem::remove_all(folder.path);
     Recorder recorder(config, "n", "b");
     ScriptedDay day(&recorder);
     day.update_endpoints(make_endpoints(3));
     day.send_requests(20, millis(20));
-    EXPECT_TRUE(soon([&] { return recorder.faults() > 0; }));
+    EXPECT_TRUE(holds_soon([&] { return recorder.faults() > 0; }));
     EXPECT_EQ(recorder.last_fault().find("cannot write to " + folder.path), 0);
     const uint64_t placed = day.established.size();
     day.send_requests(20, millis(20));
     EXPECT_GT(day.established.size(), placed);
-    std::filesystem::create_directories(folder.path);  // and it is taken up again
-    EXPECT_TRUE(soon([&] {
+    std::filesystem::create_directories(folder.path);  // recording goes on
+    EXPECT_TRUE(holds_soon([&] {
         day.send_requests(1, millis(2000));
         recorder.tick(day.now);
         return !segments_at(folder.path).empty();
@@ -91,10 +92,10 @@
     day.policy.record_to(nullptr);
 }
 
-TEST(Recorder, OldSegmentsGoWhenTheFolderIsFull) {
+TEST(Recorder, OldSegmentsAreRemovedWhenTheFolderIsFull) {
     const TemporaryFolder folder;
-    folder.file("not ours", "notes.txt");
-    RecorderConfig config = keeping(folder);
+    folder.write_file("not ours", "notes.txt");
+    RecorderConfig config = make_recorder_config(folder);
     config.segment_bytes = 30'000;
     config.keep_bytes = 30'000;
     {
@@ -111,7 +112,7 @@
     EXPECT_EQ(replay({segments_at(folder.path).back()}).outcome, Outcome::same);
 }
 
-TEST(Recorder, WithoutATapeNothingIsTakenDown) {
+TEST(Recorder, WithoutARecorderThePolicyWorksAlike) {
     ScriptedDay day(nullptr);
     day.play_bad_day();
     EXPECT_GT(day.established.size(), 10u);
--- a/tests/capture/test_replay.cpp
+++ b/tests/capture/test_replay.cpp
@@ -1,3 +1,4 @@
+/// Captures replayed, explained, cut and anonymized.
 #include "capture/captured.h"
 #include "capture/edit.h"
 #include "capture/explain.h"
@@ -5,9 +6,9 @@
 using namespace headrouter::capture;
 using Outcome = ReplayResult::Outcome;
 
-TEST(Replay, ABadDayReplaysToTheSameDecisionsTwice) {
+TEST(Replay, ReplaysABadDayToTheSameDecisionsTwice) {
     const TemporaryFolder folder;
-    const std::string path = folder.file(small_capture());
+    const std::string path = folder.write_file(record_bad_day());
     for (int k = 0; k < 2; ++k) {
         const ReplayResult result = replay({path});
         EXPECT_EQ(result.outcome, Outcome::same);
@@ -17,22 +18,23 @@
     }
 }
 
-TEST(Replay, AStateBroughtBackGoesOnAsTheOneItWasTakenFrom) {
-    MemoryRecorder whole, part;
-    ScriptedDay a(&whole);
-    a.play_bad_day();
+TEST(Replay, ARestoredStateGoesOnAsTheOriginal) {
+    MemoryRecorder whole;
+    MemoryRecorder part;
+    ScriptedDay day(&whole);
+    day.play_bad_day();
     part.wants_new_state = true;
-    a.policy.record_to(&part);  // from the middle of its life
-    a.send_requests(200, millis(15));
-    a.crash("B");
-    a.send_requests(100, millis(30));
+    day.policy.record_to(&part);  // from the middle on
+    day.send_requests(200, millis(15));
+    day.crash("B");
+    day.send_requests(100, millis(30));
     const TemporaryFolder folder;
-    const ReplayResult result = replay({folder.file(part.finish())});
+    const ReplayResult result = replay({folder.write_file(part.finish())});
     EXPECT_EQ(result.outcome, Outcome::same);
     EXPECT_GT(result.events, 300);
 }
 
-TEST(Replay, ASegmentLeadsToTheStateAtTheHeadOfTheNext) {
+TEST(Replay, ASegmentEndsInTheStateAtTheHeadOfTheNext) {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.play_bad_day();
@@ -42,63 +44,69 @@
     day.send_requests(50, millis(20));
     const std::string second = recorder.finish();
     const TemporaryFolder folder;
-    const std::string a = folder.file(first, "1.hrc"), b = folder.file(second, "2.hrc");
-    EXPECT_EQ(replay({a, b}).outcome, Outcome::same);
-    EXPECT_EQ(replay({b}).outcome, Outcome::same);
-    // One that another module led to, under the same recording's name.
+    const std::string first_path = folder.write_file(first, "1.hrc");
+    const std::string second_path = folder.write_file(second, "2.hrc");
+    EXPECT_EQ(replay({first_path, second_path}).outcome, Outcome::same);
+    EXPECT_EQ(replay({second_path}).outcome, Outcome::same);
+    // A segment of another policy, under the same recording's name.
     MemoryRecorder other;
     ScriptedDay other_day(&other, ScriptedDay::grouped(), 4);
     other_day.play_bad_day();
     other.bytes.clear();
-    other.open = Block{};
+    other.open_block = Block{};
     other.wants_new_state = true;
     other_day.send_requests(1, millis(20));
-    const ReplayResult result = replay({a, folder.file(other.finish(), "3.hrc")});
+    const ReplayResult result = replay({first_path, folder.write_file(other.finish(), "3.hrc")});
     EXPECT_EQ(result.outcome, Outcome::differs);
     EXPECT_NE(result.reason.find("the state at its head"), std::string::npos);
 }
 
-TEST(Replay, AChangedDecisionIsNamedWithTheEventBeforeIt) {
+TEST(Replay, ADifferentDecisionIsNamedWithItsEvent) {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.play_bad_day();
-    // One action of one frame says another server: as if this build decided otherwise.
+    // One action of one frame names another server, as if this build decided differently.
     Block changed;
-    int at = 0;
-    std::string told;
-    for_each_frame(recorder.open.bytes, [&](std::string_view bytes) {
-        RecordedEvent f = decode(bytes);
-        for (RecordedAction& d : f.actions)
-            if (d.kind == RecordedAction::Kind::start_attempt && ++at == 40)
-                d.server = "nowhere", told = describe(f);
-        std::string is_reconnect;
-        encode(f, is_reconnect);
-        append_frame(changed.bytes, is_reconnect);
+    int attempts = 0;
+    std::string description;
+    for_each_frame(recorder.open_block.bytes, [&](std::string_view bytes) {
+        RecordedEvent event = decode(bytes);
+        for (RecordedAction& action : event.actions) {
+            if (action.kind != RecordedAction::Kind::start_attempt) continue;
+            ++attempts;
+            if (attempts != 40) continue;
+            action.server = "nowhere";
+            description = describe(event);
+        }
+        std::string encoded;
+        encode(event, encoded);
+        append_frame(changed.bytes, encoded);
         ++changed.count;
         return true;
     });
-    recorder.open = changed;
+    recorder.open_block = changed;
     const TemporaryFolder folder;
-    const ReplayResult result = replay({folder.file(recorder.finish())});
+    const ReplayResult result = replay({folder.write_file(recorder.finish())});
     EXPECT_EQ(result.outcome, Outcome::differs);
-    EXPECT_NE(result.reason.find(told), std::string::npos);
+    EXPECT_NE(result.reason.find(description), std::string::npos);
     EXPECT_NE(result.reason.find("was: start attempt for request"), std::string::npos);
     EXPECT_NE(result.reason.find("at nowhere"), std::string::npos);
 }
 
-TEST(Replay, WhyTellsWhatWasSeenWhenACallWasPlaced) {
+TEST(Replay, ExplainsWhatThePolicyKnewWhenARequestWasPlaced) {
     const TemporaryFolder folder;
-    const Explanation w = explain({folder.file(small_capture())}, 70);
-    EXPECT_EQ(w.result.outcome, Outcome::same);
-    for (const char* said : {"request arrived 70", "-> start attempt for request 70 at ", "own load",
-                             "distrust", "skipped after failures"})
-        EXPECT_NE(w.text.find(said), std::string::npos);
-    EXPECT_TRUE(explain({folder.file(small_capture())}, 999'999).text.empty());
+    const Explanation explanation = explain({folder.write_file(record_bad_day())}, 70);
+    EXPECT_EQ(explanation.result.outcome, Outcome::same);
+    for (const char* phrase : {"request arrived 70", "-> start attempt for request 70 at ", "own load",
+                               "distrust", "skipped after failures"})
+        EXPECT_NE(explanation.text.find(phrase), std::string::npos);
+    EXPECT_TRUE(explain({folder.write_file(record_bad_day())}, 999'999).text.empty());
 }
 
-TEST(Replay, APartCutOutReplaysByItself) {
+TEST(Replay, APartOfACaptureReplaysByItself) {
     const TemporaryFolder folder;
-    const std::string whole = folder.file(small_capture()), part = folder.path + "/part.hrc";
+    const std::string whole = folder.write_file(record_bad_day());
+    const std::string part = folder.path + "/part.hrc";
     EXPECT_EQ(cut({whole}, seconds(2), seconds(4), part).outcome, Outcome::same);
     const ReplayResult result = replay({part});
     EXPECT_EQ(result.outcome, Outcome::same);
@@ -107,25 +115,26 @@
     EXPECT_GE(result.first - replay({whole}).first, seconds(2));
 }
 
-TEST(Replay, AnAnonymousOneNamesNobodyAndReplaysToItself) {
+TEST(Replay, AnAnonymizedCaptureHasNoNamesAndReplaysToItself) {
     const TemporaryFolder folder;
-    const std::string whole = folder.file(small_capture()), hidden = folder.path + "/hidden.hrc";
-    EXPECT_EQ(anonymize({whole}, hidden).outcome, Outcome::same);
-    const ReplayResult result = replay({hidden});
+    const std::string whole = folder.write_file(record_bad_day());
+    const std::string anonymized = folder.path + "/anonymized.hrc";
+    EXPECT_EQ(anonymize({whole}, anonymized).outcome, Outcome::same);
+    const ReplayResult result = replay({anonymized});
     EXPECT_EQ(result.outcome, Outcome::same);
     EXPECT_EQ(result.events, replay({whole}).events);
-    bool named = false;
+    bool has_names = false;
     read_segment_file(
-        hidden, [](const SegmentHeader&) {},
-        [&](const Block& b) {
-            named = named || b.bytes.find("group") != std::string::npos ||
-                    b.bytes.find("key") != std::string::npos;
+        anonymized, [](const SegmentHeader&) {},
+        [&](const Block& block) {
+            if (block.bytes.find("group") != std::string::npos) has_names = true;
+            if (block.bytes.find("key") != std::string::npos) has_names = true;
             return true;
         });
-    EXPECT_FALSE(named);
+    EXPECT_FALSE(has_names);
 }
 
-TEST(Replay, AGapStopsAReplayOpenly) {
+TEST(Replay, AReplayStopsAtAGapAndNamesIt) {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.play_bad_day();
@@ -135,26 +144,23 @@
     day.policy.record_to(&after);
     day.send_requests(5, millis(20));
     const std::string whole = after.finish();
-    const std::string head = encode(SegmentHeader{"test", "n", 77, 0, 0, after.open.first});
     // As the recorder writes it: the gap between the header and the state.
-    MemoryRecorder dummy;
     std::string with_gap;
     read_segment(
-        [from = std::string_view(whole)](char* into, size_t n) mutable {
-            n = std::min(n, from.size());
-            from.copy(into, n);
-            from.remove_prefix(n);
-            return n;
-        },
-        [&](const SegmentHeader& h) {
-            with_gap = encode(h) + encode(Block{BlockKind::gap, 17, {}, {}, {}});
+        reader_of(whole),
+        [&](const SegmentHeader& header) {
+            with_gap = encode(header) + encode(Block{BlockKind::gap, 17, {}, {}, {}});
         },
-        [&](const Block& b) { return with_gap += encode(b), true; });
+        [&](const Block& block) {
+            with_gap += encode(block);
+            return true;
+        });
     with_gap += encode(Block{BlockKind::index, 0, {}, {}, {}});
     const TemporaryFolder folder;
-    const ReplayResult result = replay({folder.file(bytes, "1.hrc"), folder.file(with_gap, "2.hrc")});
+    const ReplayResult result =
+        replay({folder.write_file(bytes, "1.hrc"), folder.write_file(with_gap, "2.hrc")});
     EXPECT_EQ(result.outcome, Outcome::incomplete);
     EXPECT_EQ(result.missing_events, 17);
     EXPECT_NE(result.reason.find("a gap of 17 events"), std::string::npos);
-    EXPECT_EQ(replay({folder.path + "/2.hrc"}).outcome, Outcome::same);  // by itself it is whole
+    EXPECT_EQ(replay({folder.path + "/2.hrc"}).outcome, Outcome::same);  // complete by itself
 }
--- a/tests/capture/test_segment.cpp
+++ b/tests/capture/test_segment.cpp
@@ -1,164 +1,164 @@
-// The reader against whatever a disk may bring: every prefix, every flipped byte, and a row of random damage.
+/// The reader of segments with every prefix, every flipped byte and random damage.
 #include "capture/captured.h"
 
 using namespace headrouter::capture;
 
-struct Got {
-    SegmentReadResult reading;
-    int blocks = 0, headers = 0;
+struct ReadSegment {
+    SegmentReadResult result;
+    int blocks = 0;
+    int headers = 0;
     uint64_t frames = 0;
 };
 
-static Got read_bytes(std::string_view bytes) {
-    Got got;
-    got.reading = read_segment(
-        [&](char* into, size_t n) {
-            n = std::min(n, bytes.size());
-            bytes.copy(into, n);
-            bytes.remove_prefix(n);
-            return n;
-        },
-        [&](const SegmentHeader&) { ++got.headers; },
-        [&](const Block& b) {
-            ++got.blocks;
-            if (b.kind == BlockKind::frames)
-                for_each_frame(b.bytes,
-                               [&](std::string_view f) { return (void)decode(f), ++got.frames, true; });
+static ReadSegment read_bytes(std::string_view bytes) {
+    ReadSegment read;
+    read.result = read_segment(
+        reader_of(bytes), [&](const SegmentHeader&) { ++read.headers; },
+        [&](const Block& block) {
+            ++read.blocks;
+            if (block.kind != BlockKind::frames) return true;
+            for_each_frame(block.bytes, [&](std::string_view frame) {
+                (void)decode(frame);
+                ++read.frames;
+                return true;
+            });
             return true;
         });
-    return got;
+    return read;
 }
 
-// Several blocks, and small, so that every byte can be tried.
-static std::string little_capture() {
+/// Several small blocks, so that every byte can be tried.
+static std::string record_small_blocks() {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.update_endpoints(make_endpoints(3));
-    for (int k = 0; k < 4; ++k) day.send_requests(3, millis(30)), recorder.finish_block();
+    for (int k = 0; k < 4; ++k) {
+        day.send_requests(3, millis(30));
+        recorder.finish_block();
+    }
     return recorder.finish();
 }
 
-TEST(Segment, AWholeOneIsReadWhole) {
-    const Got got = read_bytes(little_capture());
-    EXPECT_EQ(got.reading.end, SegmentEnd::complete);
-    EXPECT_EQ(got.headers, 1);
-    EXPECT_EQ(got.blocks, 5);
-    EXPECT_GT(got.frames, 20);
+TEST(Segment, ACompleteSegmentIsReadCompletely) {
+    const ReadSegment read = read_bytes(record_small_blocks());
+    EXPECT_EQ(read.result.end, SegmentEnd::complete);
+    EXPECT_EQ(read.headers, 1);
+    EXPECT_EQ(read.blocks, 5);
+    EXPECT_GT(read.frames, 20);
 }
 
-TEST(Segment, EveryPrefixReadsAsFarAsItIsWhole) {
-    const std::string all = little_capture();
+TEST(Segment, EveryPrefixIsReadAsFarAsItIsComplete) {
+    const std::string all = record_small_blocks();
     const TemporaryFolder folder;
-    uint64_t before = 0;
+    uint64_t frames_before = 0;
     int opens = 0;
     for (size_t n = 0; n < all.size(); ++n) {
-        const Got got = read_bytes(std::string_view(all).substr(0, n));
-        EXPECT_TRUE(got.reading.end == SegmentEnd::truncated || got.reading.end == SegmentEnd::open);
-        EXPECT_LE(got.reading.offset, n);
-        EXPECT_GE(got.frames, before);  // more bytes never tell less
-        before = got.frames;
-        opens += got.reading.end == SegmentEnd::open;
+        const ReadSegment read = read_bytes(std::string_view(all).substr(0, n));
+        EXPECT_TRUE(read.result.end == SegmentEnd::truncated || read.result.end == SegmentEnd::open);
+        EXPECT_LE(read.result.offset, n);
+        EXPECT_GE(read.frames, frames_before);  // more bytes never give fewer frames
+        frames_before = read.frames;
+        if (read.result.end == SegmentEnd::open) ++opens;
         if (n % 97 != 0) continue;
-        const ReplayResult result = replay({folder.file(all.substr(0, n))});
+        const ReplayResult result = replay({folder.write_file(all.substr(0, n))});
         EXPECT_EQ(result.outcome, ReplayResult::Outcome::incomplete);
-        EXPECT_EQ(result.events, got.frames);
+        EXPECT_EQ(result.events, read.frames);
         EXPECT_FALSE(result.reason.empty());
     }
     EXPECT_EQ(opens, 6);  // after the header and after each of five blocks
 }
 
-TEST(Segment, EveryFlippedByteIsFoundOrDoesNoHarm) {
-    const std::string all = little_capture();
+TEST(Segment, EveryFlippedByteIsDetected) {
+    const std::string all = record_small_blocks();
     const uint64_t frames = read_bytes(all).frames;
     size_t harmless = 0;
     for (size_t k = 0; k < all.size(); ++k) {
-        std::string bad = all;
-        bad[k] = static_cast<char>(bad[k] ^ 0x41);
-        const Got got = read_bytes(bad);
-        if (got.reading.end == SegmentEnd::complete) {
+        std::string damaged = all;
+        damaged[k] = static_cast<char>(damaged[k] ^ 0x41);
+        const ReadSegment read = read_bytes(damaged);
+        if (read.result.end == SegmentEnd::complete) {
             ++harmless;
-            EXPECT_EQ(got.frames, frames);
+            EXPECT_EQ(read.frames, frames);
         }
     }
-    EXPECT_EQ(harmless, 0);  // there is no byte outside a checksum
+    EXPECT_EQ(harmless, 0);  // no byte is outside a checksum
 }
 
 TEST(Segment, RandomDamageNeverCrashesTheReader) {
-    const std::string all = little_capture();
+    const std::string all = record_small_blocks();
     Pcg32 random(4);
     for (int round = 0; round < 3000; ++round) {
-        std::string bad = all;
+        std::string damaged = all;
         const int times = 1 + static_cast<int>(random.uniform() * 8);
         for (int k = 0; k < times; ++k) {
-            const auto at = static_cast<size_t>(random.uniform() * double(bad.size()));
+            const auto at = static_cast<size_t>(random.uniform() * double(damaged.size()));
             if (random.uniform() < 0.3)
-                bad.erase(at, static_cast<size_t>(random.uniform() * 40));
+                damaged.erase(at, static_cast<size_t>(random.uniform() * 40));
             else if (random.uniform() < 0.3)
-                bad.insert(at, bad.substr(static_cast<size_t>(random.uniform() * double(bad.size())), 20));
+                damaged.insert(
+                    at, damaged.substr(static_cast<size_t>(random.uniform() * double(damaged.size())), 20));
             else
-                bad[at] = static_cast<char>(random.next());
+                damaged[at] = static_cast<char>(random.next());
         }
-        const Got got = read_bytes(bad);
-        EXPECT_TRUE(bad == all || got.reading.end != SegmentEnd::complete ||
-                    got.frames <= read_bytes(all).frames);
+        const ReadSegment read = read_bytes(damaged);
+        EXPECT_TRUE(damaged == all || read.result.end != SegmentEnd::complete ||
+                    read.frames <= read_bytes(all).frames);
     }
 }
 
-// Behind a right checksum too, as from a writer with a fault: frames and states of any bytes.
-TEST(Segment, AnyBytesForAFrameOrAStateAreRefusedOrRead) {
+// Behind a correct checksum, as from a faulty writer.
+TEST(Segment, FramesAndStatesOfAnyBytesAreReadOrRejected) {
     MemoryRecorder recorder;
     ScriptedDay day(&recorder);
     day.update_endpoints(make_endpoints(3));
     day.send_requests(10, millis(30));
     std::vector<std::string> frames;
-    for_each_frame(recorder.open.bytes, [&](std::string_view f) { return frames.emplace_back(f), true; });
+    for_each_frame(recorder.open_block.bytes, [&](std::string_view frame) {
+        frames.emplace_back(frame);
+        return true;
+    });
     Pcg32 random(8);
-    int refused = 0;
+    int rejected = 0;
     for (int round = 0; round < 20'000; ++round) {
-        std::string f = frames[static_cast<size_t>(random.uniform() * double(frames.size()))];
-        f[static_cast<size_t>(random.uniform() * double(f.size()))] = static_cast<char>(random.next());
-        if (random.uniform() < 0.2) f.resize(static_cast<size_t>(random.uniform() * double(f.size())));
+        std::string frame = frames[static_cast<size_t>(random.uniform() * double(frames.size()))];
+        frame[static_cast<size_t>(random.uniform() * double(frame.size()))] =
+            static_cast<char>(random.next());
+        if (random.uniform() < 0.2)
+            frame.resize(static_cast<size_t>(random.uniform() * double(frame.size())));
         try {
-            (void)decode(f);
+            (void)decode(frame);
         } catch (const ParseError&) {
-            ++refused;
+            ++rejected;
         }
     }
-    EXPECT_GT(refused, 100);
-    ReplayedPolicy p;
-    for (const char* bad : {"", "x", "\xff\xff\xff\xff\xff\xff\xff\xff\xff"}) try {
-            p.restore(bad);
-            EXPECT_TRUE(false);
-        } catch (const ParseError&) {
-        }
+    EXPECT_GT(rejected, 100);
+    ReplayedPolicy policy;
+    for (const char* malformed : {"", "x", "\xff\xff\xff\xff\xff\xff\xff\xff\xff"})
+        EXPECT_THROW(policy.restore(malformed), ParseError);
 }
 
-TEST(Segment, ANewerMajorIsLeftAloneAndSaid) {
-    std::string newer = little_capture();
+TEST(Segment, ANewerMajorVersionIsRejectedWithItsNumber) {
+    std::string newer = record_small_blocks();
     newer[8] = 2;
-    const Got got = read_bytes(newer);
-    EXPECT_EQ(got.reading.end, SegmentEnd::too_new);
-    EXPECT_EQ(got.reading.reason, "format 2; this build reads 1");
-    EXPECT_EQ(got.blocks, 0);
+    const ReadSegment read = read_bytes(newer);
+    EXPECT_EQ(read.result.end, SegmentEnd::too_new);
+    EXPECT_EQ(read.result.reason, "format 2; this build reads 1");
+    EXPECT_EQ(read.blocks, 0);
 }
 
-TEST(Segment, ANewerMinorWithAKindOfBlockUnknownHereIsRead) {
-    const std::string all = little_capture();
-    std::string with;
+TEST(Segment, ABlockOfAnUnknownKindIsSkipped) {
+    const std::string all = record_small_blocks();
+    std::string with_unknown;
     read_segment(
-        [from = std::string_view(all)](char* into, size_t n) mutable {
-            n = std::min(n, from.size());
-            from.copy(into, n);
-            from.remove_prefix(n);
-            return n;
-        },
-        [&](const SegmentHeader& h) { with = encode(h); },
-        [&](const Block& b) {
-            return with += encode(Block{static_cast<BlockKind>('Z'), 1, {}, {}, "new"}) + encode(b), true;
+        reader_of(all), [&](const SegmentHeader& header) { with_unknown = encode(header); },
+        [&](const Block& block) {
+            with_unknown += encode(Block{static_cast<BlockKind>('Z'), 1, {}, {}, "new"});
+            with_unknown += encode(block);
+            return true;
         });
-    with += encode(Block{BlockKind::index, 0, {}, {}, {}});
-    EXPECT_EQ(read_bytes(with).reading.end, SegmentEnd::complete);
-    EXPECT_EQ(read_bytes(with).frames, read_bytes(all).frames);
+    with_unknown += encode(Block{BlockKind::index, 0, {}, {}, {}});
+    EXPECT_EQ(read_bytes(with_unknown).result.end, SegmentEnd::complete);
+    EXPECT_EQ(read_bytes(with_unknown).frames, read_bytes(all).frames);
 }
 
 // What an error says of an event that no build can have recorded.
