--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -207,6 +207,9 @@
     std::optional<Number>& value;
 };
 
+template <class Number>
+NegativeForNone(std::optional<Number>&) -> NegativeForNone<Number>;
+
 template <class Archive, class Number>
 void visit(Archive& archive, NegativeForNone<Number>& optional) {
     visit_negative_for_none(archive, optional.value);
--- a/src/fleet_load/aggregator_election.h
+++ b/src/fleet_load/aggregator_election.h
@@ -2,7 +2,6 @@
 #pragma once
 #include <cstdint>
 #include <optional>
-#include <utility>
 
 #include "base/time.h"
 
@@ -24,7 +23,7 @@
     };
 
     [[nodiscard]] const State& state() const { return state_; }
-    void restore(State state) { state_ = std::move(state); }
+    void restore(const State& state) { state_ = state; }
 
     /// The replicas have changed: the next begin_epoch() begins one.
     void reset() { state_.epoch.reset(); }
