--- a/lab/experiments/fleet_run.cpp
+++ b/lab/experiments/fleet_run.cpp
@@ -200,7 +200,7 @@
     void start(int b, const std::string& program = {}) {
         Seat& s = seat(b);
         const std::string name = fleet_.seat(b).name + "." + std::to_string(s.lives);
-        s.ops = fleet_.ops(b, s.lives);
+        s.ops = fleet_.admin_address(b, s.lives);
         s.life =
             std::make_unique<Child>(program.empty() ? play_.program : program, folder_, name, operator_file_);
         if (has_clocks_) {
@@ -266,7 +266,7 @@
 
     void kill(int b) {
         Seat& s = seat(b);
-        fleet_.dies(b);
+        fleet_.on_balancer_killed(b);
         // Not waited for here: a hundred may die at one instant, and the test bed must not run late over it.
         for (std::unique_ptr<Child>* c : {&s.life, &s.older})
             if (*c) (*c)->signal(SIGKILL), s.dying.push_back(std::move(*c));
@@ -321,7 +321,7 @@
     // A process that came back before the front had missed it was never away for that one.
     void front(int b, bool on) {
         seat(b).up = on;
-        fleet_.front_sends(b, on);
+        fleet_.set_front_sends(b, on);
     }
 
     void look_after(int b) {
@@ -342,7 +342,7 @@
                 fleet_.checker().absent(b, true);
             } else {
                 note_crash(b, *s.life);
-                fleet_.dies(b);
+                fleet_.on_balancer_killed(b);
             }
             retire(s.life);
             s.leaving = false;
@@ -406,19 +406,19 @@
                                  std::to_string(most_servers) + " servers");
     const RunFolder folder(play.log_folder);
     testbed::ProcessFleet fleet(w, seed);
-    if (play.datagrams) fleet.watch_datagrams_by(play.datagrams);
+    if (play.datagrams) fleet.observe_datagrams(play.datagrams);
     Processes processes(w, play, fleet, folder.path);
     const auto stopped = [&] { return play.stop && play.stop->load(); };
     fleet.open();
     const bool ready = processes.start_all(stopped);
     fleet.begin(Clock::now() + begin_ahead);
-    for (int b = 0; b < w.balancers; ++b) fleet.front_sends(b, true);
+    for (int b = 0; b < w.balancers; ++b) fleet.set_front_sends(b, true);
     if (ready) processes.lay_out();
-    while (!fleet.finished() && !stopped()) {
+    while (!fleet.is_finished() && !stopped()) {
         processes.turn();
         usleep(static_cast<useconds_t>(step.ns / 1000));
     }
-    const bool partial = !fleet.finished();
+    const bool partial = !fleet.is_finished();
     const double cores_used = to_seconds(fleet.now() - TimePoint{});
     usleep(static_cast<useconds_t>(settling.ns / 1000));
     processes.end_all();
--- a/lab/scenario/session.h
+++ b/lab/scenario/session.h
@@ -19,6 +19,19 @@
     double load = 0;  // microseconds of work a second
 };
 
+/// A request's id says which session it belongs to and which of its tries it is; no request has the id 0.
+constexpr int try_number_bits = 20;
+constexpr uint64_t request_id(uint64_t session, uint32_t try_number) {
+    constexpr uint32_t try_number_mask = (1U << try_number_bits) - 1;
+    return (session + 1) << try_number_bits | (try_number & try_number_mask);
+}
+/// Nothing where the id is no client's.
+constexpr std::optional<uint64_t> session_of_request(uint64_t request) {
+    const uint64_t session_plus_one = request >> try_number_bits;
+    if (session_plus_one == 0) return std::nullopt;
+    return session_plus_one - 1;
+}
+
 // In the order in which they come; `from` and `until` count from the start of the run.
 std::vector<Session> draw_sessions(const Scenario&, uint64_t seed);
 
--- a/lab/simulation/simulated_clients.cpp
+++ b/lab/simulation/simulated_clients.cpp
@@ -7,13 +7,6 @@
 
 namespace {
 
-constexpr int tries_bits = 20;  // of a request's number; the session's number stands before them
-constexpr uint32_t tries_mask = (1U << tries_bits) - 1;
-
-uint64_t request_number(size_t session, uint32_t tries) {
-    return (static_cast<uint64_t>(session) + 1) << tries_bits | (tries & tries_mask);
-}
-
 Answer answer_of(BalancerAnswer answer) {
     switch (answer) {
         case BalancerAnswer::rejected: return Answer::busy;
@@ -74,7 +67,7 @@
     if (!chosen || !context_.mailboxes.is_running(*chosen))
         return retry_failed(number, context_.now() + latency * 2);
     const int balancer = *chosen;
-    client.request = request_number(number, ++client.tries);
+    client.request = request_id(number, ++client.tries);
     client.state = Client::State::asking;
     requests_.open(client.request, number, balancer, context_.mailboxes.life(balancer));
     context_.checker.opened(context_.now(), client.request, session.type, balancer);
--- a/lab/testbed/client_population.cpp
+++ b/lab/testbed/client_population.cpp
@@ -87,7 +87,7 @@
         if (errno == EADDRNOTAVAIL || errno == EAGAIN) short_of_ = "ports";
         return away(who, c.patience->after_failure(timers_.now(), chance_));
     }
-    c.request = (s.number + 1) << 20 | (++c.tries & 0xfffff);
+    c.request = request_id(s.number, ++c.tries);
     c.balancer = b;
     c.state = Client::State::connecting;
     c.spoken.clear();
