--- a/src/affinity/group_table.h
+++ b/src/affinity/group_table.h
@@ -1,4 +1,4 @@
-// Which servers have how many of this balancer's connections of each affinity group.
+/// Which servers have how many of this balancer's connections of each affinity group.
 #pragma once
 #include <string>
 #include <unordered_map>
--- a/src/router/request_adopter.h
+++ b/src/router/request_adopter.h
@@ -9,6 +9,7 @@
 
 namespace headrouter {
 
+/// Connects adopted requests to their servers and says for how long.
 class RequestAdopter {
    public:
     /// `started_at`: when the process did.
--- a/src/router/shutdown_schedule.h
+++ b/src/router/shutdown_schedule.h
@@ -12,9 +12,8 @@
 /// Requests are served for so long at least.
 constexpr Duration shutdown_accept_period = millis(450);
 
-/// Where balancers restart one after the other, the one that leaves first must have migrated its clients
-/// before the next one leaves, and that one must wait until the first is back: its clients would find nobody
-/// if they came earlier.
+/// Paces the migrations of one balancer. Balancers that restart one after the other must not migrate at the
+/// same time, as the clients of the later one would find no balancer.
 class ShutdownSchedule {
    public:
     /// Which half of `duration` the migrations take place in.
@@ -27,16 +26,14 @@
     /// Begins the shutdown, which is over when about `duration` has passed.
     void start(TimePoint now, Duration duration, Order);
 
-    /// New requests are rejected and established ones migrated: a place here would last a moment and cost a
-    /// migration.
+    /// Whether new requests are rejected and established ones migrated.
     bool is_draining(TimePoint now) const { return draining_from_ && now >= *draining_from_; }
 
     /// What is left then is to be ended at once. Only after `start`.
     bool is_over(TimePoint now) const { return now >= over_at_; }
 
-    /// How many of the `established` requests to migrate now, where this is asked ten times a second. They
-    /// are spread evenly over the time that is left: reconnects that all came at once would be a storm for
-    /// the balancers that stay and for the servers. Only after `start`.
+    /// How many of the `established` requests to migrate now, where this is asked ten times a second: spread
+    /// evenly over the time that is left, against a storm of reconnects. Only after `start`.
     size_t migrations_due(TimePoint now, size_t established) const;
 
    private:
