--- a/tests/lab_experiments/test_from_capture.cpp
+++ b/tests/lab_experiments/test_from_capture.cpp
@@ -10,7 +10,7 @@
 
 TEST(FromCapture, ARecordedDayComesBackAsClientsAndDeeds) {
     const TemporaryFolder folder;
-    const FromCapture from = read_capture({folder.file(small_capture(2))});
+    const FromCapture from = read_capture({folder.write_file(record_bad_day(2))});
     EXPECT_TRUE(from.servers == std::vector<std::string>({"A", "B", "C", "D", "E", "F"}));
     EXPECT_EQ(from.requests, 480);
     EXPECT_LE(from.clients, 480);
@@ -28,7 +28,7 @@
 
 TEST(FromCapture, ItPlaysClosedLoopAndWhatItRecordsReplays) {
     const TemporaryFolder folder;
-    const FromCapture from = read_capture({folder.file(small_capture(2))});
+    const FromCapture from = read_capture({folder.write_file(record_bad_day(2))});
     Scenario w;
     simulation::Arm arm;
     play_capture(from, w, arm);
@@ -50,10 +50,10 @@
     Scenario w;
     w.traffic.types.clear();
     simulation::Arm arm;
-    const FromCapture from = read_capture({folder.file(small_capture())});
+    const FromCapture from = read_capture({folder.write_file(record_bad_day())});
     for (const auto& wrong :
          {std::function<void()>([&] { play_capture(from, w, arm); }),
-          std::function<void()>([&] { read_capture({folder.file("HRCAPTUR", "y.hrc")}); })})
+          std::function<void()>([&] { read_capture({folder.write_file("HRCAPTUR", "y.hrc")}); })})
         try {
             wrong();
             EXPECT_TRUE(false);
