--- a/tests/proxy/test_unfinished_requests.cpp
+++ b/tests/proxy/test_unfinished_requests.cpp
@@ -141,7 +141,8 @@
         if (k % 2 == 1) stops.emplace_back(program.pid);
     }
     for (const auto& fixture : fixtures)
-        for (StoppingClient& client : all_ways_to_stop(fixture->listen_address)) clients.push_back(std::move(client));
+        for (StoppingClient& client : all_ways_to_stop(fixture->listen_address))
+            clients.push_back(std::move(client));
     const auto advance_stops = [&] {
         for (RandomStops& process : stops) process.advance();
     };
