--- a/src/policy/eligibility.h
+++ b/src/policy/eligibility.h
@@ -1,19 +1,17 @@
-/// Whether anything new may be sent to a server: each part of the question has its name here.
+/// Whether anything new may be sent to a server. Each part of the question has its own name:
 ///
-/// | question                       | answer                             | asked | |
-/// ------------------------------ | ---------------------------------- | -----------------------------------
-/// | | does its endpoint take new     | `takes_new_requests`: it is active | for sums, and last by the
-/// router,   | | requests?                      | in the endpoint list               | right before the first
-/// byte         | | may it have an attempt now?    | `is_selectable`: that, and its     | for shares (panic
-/// mode leaves its   | |                                | failures let it have one           | failures
-/// aside); for group rankings | | is it one for this request?    | `FairShares::is_candidate`: active,| for
-/// shares and placement            | |                                | not where the last attempt failed, |
-/// | |                                | within the deduplication scope     | | | may it take this request
-/// now?  | `FairShares::may_take`: all of     | for placement                       | | | these, and a
-/// warm-up permit where  |                                     | |                                | it is
-/// cold (`WarmupAdmission`)     |                                     | | has it room for it?            |
-/// `Placement::has_room`: its share   | for placement                       | | | and its load limit allow it
-/// |                                     |
+/// - `takes_new_requests`: the endpoint list has the server as active. Asked for sums over all servers.
+/// - `is_selectable`: in addition, its failures allow an attempt now. Asked for shares; panic mode leaves it
+///   aside.
+/// - `FairShares::is_candidate`: it is active, the request's last attempt did not fail there, and it lies in
+///   the request's deduplication scope.
+/// - `FairShares::may_take`: all of these, and a warm-up permit where it is cold (`WarmupAdmission`). Asked
+/// for
+///   placement.
+/// - `Placement::has_room`: its share and its load limit allow the request.
+///
+/// The router asks its endpoint table once more right before the first byte goes out
+/// (`AttemptHandler::may_send`).
 #pragma once
 #include "base/time.h"
 #include "policy/server_table.h"
