--- a/lab/scenario/fault.h
+++ b/lab/scenario/fault.h
@@ -20,6 +20,7 @@
     split,  // the struck and the others do not hear each other
     alone,  // a struck one and all but a few do not hear each other
     lie,    // what the struck say of loads is not so
+    // testbed/fleet_context.cpp relies on the order within list_*, path_* and client_*.
     // The list as the struck balancers have it.
     list_silent,
     list_garbled,
--- a/lab/simulation/simulated_balancer.cpp
+++ b/lab/simulation/simulated_balancer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// What the router keeps back of a deadline (src/router).
+// As src/router/request_intake.cpp, without its limit to a part of the wait: deadlines here are longer.
 constexpr Duration reply_margin = millis(10);
 constexpr TimePoint never{INT64_MAX};
 constexpr size_t server_id_prefix = 2;  // "s-"
--- a/lab/testbed/faulty_paths.h
+++ b/lab/testbed/faulty_paths.h
@@ -50,8 +50,8 @@
     void add_server_paths(const std::vector<std::string>& server_hosts);
     size_t add(std::vector<size_t> injections, const std::string& address, const std::string& target);
     std::vector<size_t> injections_between(int balancer, int server) const;
-    void schedule(size_t injection);
-    void play(size_t injection);
+    void schedule(size_t index);
+    void play(size_t index);
     void blame(const scenario::FaultInjection&, bool is_at_fault);
     void apply_faults(const Path&, TimePoint now) const;
 
--- a/lab/testbed/fleet_clients.h
+++ b/lab/testbed/fleet_clients.h
@@ -22,7 +22,7 @@
     FleetClients(const FleetClients&) = delete;
     FleetClients& operator=(const FleetClients&) = delete;
 
-    /// Servers and whoever kills balancers tell it what they do from their own threads.
+    /// The clients themselves. Threads of servers, and whoever kills balancers, report to it what they did.
     ClientPopulation& population() { return population_; }
 
     /// The clients come from `start` on; the thread runs.
--- a/lab/testbed/fleet_context.h
+++ b/lab/testbed/fleet_context.h
@@ -12,7 +12,8 @@
 
 namespace headrouter::testbed {
 
-/// A run's scenario with all that is drawn for it, and what one thread sees of servers that others ask for.
+/// A run's scenario with all that is drawn for it, and the states of servers that
+/// their threads publish for the others.
 /// Made before the threads run and kept until they have ended; all but the atomics and the checker, which
 /// locks, is fixed from then on.
 struct FleetContext {
--- a/lab/testbed/fleet_endpoint_lists.cpp
+++ b/lab/testbed/fleet_endpoint_lists.cpp
@@ -70,8 +70,8 @@
 Duration FleetEndpointLists::added_delay(int balancer, TimePoint at) const {
     Duration delay;
     for (const FaultInjection& injection : context_.injections) {
-        const bool is_late = injection.fault.kind == FaultKind::list_old && injection.at(at);
-        if (is_late && strikes(injection, balancer)) delay = delay + injection.fault.span;
+        const bool is_old = injection.fault.kind == FaultKind::list_old && injection.at(at);
+        if (is_old && strikes(injection, balancer)) delay = delay + injection.fault.span;
     }
     return delay;
 }
--- a/lab/testbed/fleet_servers.cpp
+++ b/lab/testbed/fleet_servers.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr int samples_a_second = 10;
+// As ServerTable::listed_weight.
 constexpr double least_weight = 1e-3;
 constexpr double us_per_second = 1e6;
 constexpr double us_per_ms = 1000;
--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -3,9 +3,8 @@
 /// ByteWriter and reads it from a ByteReader, so that the form of each type stands in one place.
 ///
 /// A number takes eight bytes, least significant first; a flag or an enumerator of one byte takes one; a text
-/// or a list has its length before it, in four bytes. A plain struct is visited by the list of its
-/// fields, for_each_field(), a component by its
-/// state.
+/// or a list has its length before it, in four bytes. A plain struct is visited by the list of its fields,
+/// for_each_field(), a component by its state.
 #pragma once
 #include <algorithm>
 #include <array>
--- a/src/downstream/downstream.cpp
+++ b/src/downstream/downstream.cpp
@@ -249,7 +249,7 @@
 
 void Downstream::on_output_drained(LineConnection& connection) {
     const Client* const client = find(connection.id());
-    if (client && client->stage == ClientStage::established) events_->on_client_drained(connection.id());
+    if (client && client->stage == ClientStage::established) events_->on_client_writable(connection.id());
 }
 
 // ---- for the request router ----
--- a/src/downstream/downstream_interface.h
+++ b/src/downstream/downstream_interface.h
@@ -59,7 +59,7 @@
     virtual void on_early_client_data(RequestId) = 0;
 
     /// The kernel has taken some of the unsent bytes.
-    virtual void on_client_drained(RequestId) = 0;
+    virtual void on_client_writable(RequestId) = 0;
 };
 
 }  // namespace headrouter
--- a/src/downstream/request_line.cpp
+++ b/src/downstream/request_line.cpp
@@ -93,7 +93,7 @@
         if (name == "d") return read_wait(value);
         if (name == "again" || name == "r") return read_flag(name, value);
         if (name == "g") result_.request.group = value;
-        if (name == "at") result_.established_at = value;
+        if (name == "at") result_.established_server = value;
         if (name == "h") read_load_hint(value);
         return {};
     }
@@ -181,7 +181,7 @@
         if (const FieldError error = reader.read(field)) return *error;
     }
     if (const FieldError error = reader.finish()) return *error;
-    if (result.established_at.empty())
+    if (result.established_server.empty())
         result.wait = std::min(result.wait, config.policy.request_classes[result.request.type].deadline);
     return result;
 }
--- a/src/downstream/request_line.h
+++ b/src/downstream/request_line.h
@@ -21,7 +21,7 @@
     size_t wait_length = 0;
     Request request;  ///< without its id and deadline, which the router sets
     Duration wait;    ///< how long the client waits, bounded by its class's deadline for a new request
-    ServerId established_at;  ///< empty for a new request
+    ServerId established_server;  ///< the server that serves it already; empty for a new request
 
     /// The same line, but saying that its sender waits for `wait`: at least 1 ms, rounded down to whole ones.
     std::string line_with_wait(Duration new_wait) const;
--- a/src/downstream/request_line_deadline.h
+++ b/src/downstream/request_line_deadline.h
@@ -18,8 +18,8 @@
     bool has_partial_line = false;
 };
 
-/// From when the time for a line counts whose first byte came at `first_byte_at`: from the connect, unless
-/// the client has kept its connection for seconds, with probes, before it began. Later bytes never extend the
+/// When the time for a line began whose first byte came at `first_byte_at`: at the connect, or at that byte
+/// where the client had kept its connection for seconds before, with probes. Later bytes never extend the
 /// time.
 [[nodiscard]] TimePoint request_line_start(TimePoint connected_at, TimePoint first_byte_at);
 
--- a/src/hot_restart/balancer_state.cpp
+++ b/src/hot_restart/balancer_state.cpp
@@ -37,7 +37,7 @@
     visit(request_line.wait_length);
     visit(request_line.request);
     visit(request_line.wait);
-    visit(request_line.established_at);
+    visit(request_line.established_server);
 }
 
 template <class Visitor>
--- a/src/hot_restart/transfer_state.h
+++ b/src/hot_restart/transfer_state.h
@@ -30,8 +30,8 @@
 /// A packed state.
 struct TransferState {
     std::string bytes;
-    std::vector<int>
-        descriptors;  ///< of the connections, in the order of the bytes; still owned by the components
+    /// Of the connections, in the order of the bytes; still owned by the components.
+    std::vector<int> descriptors;
 };
 
 /// Packs the state of `components` as of `now`. Nothing is changed.
--- a/src/load/connection_load.h
+++ b/src/load/connection_load.h
@@ -1,4 +1,4 @@
-// The load of a set of connections, as far as it is reported. Plain sums; nothing is decided.
+/// The load of a set of connections, as far as it is reported. Plain sums; nothing is decided.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -9,8 +9,7 @@
 namespace headrouter {
 
 /// Connections established or pending. Each counts by its reported load, else by what its request class was
-/// seen to need. Loads in microseconds a second;
-/// nothing where none is reported.
+/// seen to need. Loads in microseconds a second; nothing where none is reported.
 struct ConnectionLoad {
     std::vector<double> unreported;  ///< for each request class, connections whose load is not reported
     double reported = 0;             ///< of all others
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -127,7 +127,7 @@
     int count_unselectable(TimePoint now) const { return eligibility::count_unselectable(now, servers_); }
 
    private:
-    /// The surplus of a slow server is migrated off within this time.
+    /// What a latency report says is too much for a server is migrated off within this time.
     static constexpr Duration slow_server_drain = seconds(0.8);
 
     /// The request, if it has such an attempt; else null.
--- a/src/policy/cycle_clock.h
+++ b/src/policy/cycle_clock.h
@@ -1,4 +1,5 @@
-/// The rebalance cycle by the clock that all balancers share: an active phase, then a pause.
+/// The rebalance cycle by the policy's clock, which balancers on one machine share: an active phase, then a
+/// pause.
 ///
 /// Surplus is migrated off in the active phase. In the pause nothing is: a client that comes back in it is
 /// placed while the servers' loads stand still.
--- a/src/policy/eligibility.h
+++ b/src/policy/eligibility.h
@@ -1,17 +1,15 @@
-/// Whether anything new may be sent to a server. Each part of the question has its own name:
+/// Whether anything new may be sent to a server. Each part of the question has a name of its own:
 ///
-/// - `takes_new_requests`: the endpoint list has the server as active. Asked for sums over all servers.
-/// - `is_selectable`: in addition, its failures allow an attempt now. Asked for shares; panic mode leaves it
-///   aside.
-/// - `FairShares::is_candidate`: it is active, the request's last attempt did not fail there, and it lies in
-///   the request's deduplication scope.
-/// - `FairShares::may_take`: all of these, and a warm-up permit where it is cold (`WarmupAdmission`). Asked
-/// for
-///   placement.
-/// - `Placement::has_room`: its share and its load limit allow the request.
+/// - `takes_new_requests`: its endpoint is active in the endpoint list. Asked for sums over all servers.
+/// - `is_selectable`: that, and its failures let it have an attempt now. Asked for shares (panic mode leaves
+///   failures aside) and for the first choice of a group's ranking.
+/// - `FairShares::is_candidate`: active, not where the last attempt failed (panic mode leaves that aside),
+///   within the deduplication scope. Asked for shares and for placement.
+/// - `FairShares::may_take`: a candidate, selectable (except in panic mode), and with a warm-up permit where
+///   it is cold (`WarmupAdmission`). Asked for placement.
+/// - `Placement::has_room`: may take it, and its share and its load limit allow it. Asked for placement.
 ///
-/// The router asks its endpoint table once more right before the first byte goes out
-/// (`AttemptHandler::may_send`).
+/// The router asks its endpoint table once more before the first byte goes out (`AttemptHandler::may_send`).
 #pragma once
 #include "base/time.h"
 #include "policy/server_table.h"
--- a/src/policy/endpoint_tracker.h
+++ b/src/policy/endpoint_tracker.h
@@ -14,7 +14,7 @@
     struct State {
         bool is_asked = false;     ///< and not answered yet
         bool is_watching = false;  ///< the last answer was a list
-        TimePoint asked_at;
+        TimePoint asked_at;        ///< read by no rule, kept for the form of version 1
         Duration retry_pause = first_retry_pause;
     };
 
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -28,7 +28,7 @@
     int open_servers = 0;                        ///< that may take the request
     int slow_servers = 0;                        ///< of these, at their load limits
     std::optional<ServerIndex> excluded_server;  ///< where the request's last attempt failed
-    double slow_part = 0;                        ///< of the servers whose latency this balancer hears of
+    double slow_part = 0;                        ///< slow_servers over those whose latency is known here
     bool is_mostly_slow = false;                 ///< much of the fleet is slow
     std::vector<DegradedServer> degraded;        ///< by ServerState::degraded_index
 };
@@ -52,8 +52,8 @@
           degraded_(parts.degraded) {}
 
     /// The fleet as it is for this request; null: as it is for balancing. Where no server may take the
-    /// request, those in backoff and the one that failed it are counted too (panic mode). Updates which
-    /// servers are degraded, and drops warm-up permits that have lapsed.
+    /// request, those in backoff or ejected and the one that failed it last are counted too (panic mode).
+    /// Updates which servers are degraded, and drops warm-up permits that have lapsed.
     FleetView view(TimePoint now, const RequestState* request);
     /// The server's share in that view, as long as it is the latest.
     double share(const FleetView&, ServerIndex) const;
--- a/src/policy/headroom_publisher.cpp
+++ b/src/policy/headroom_publisher.cpp
@@ -29,7 +29,7 @@
         const bool is_named = short_ids_.find(short_id) == index;
         if (!is_named || !eligibility::takes_new_requests(server.endpoint.state)) continue;
         eligible.push_back({index, short_id, ServerTable::listed_weight(server)});
-        if (is_troubled(now, server))
+        if (reports_as_degraded(now, server))
             own.push_back({index, gossip::degraded_marker});
         else if (!server.connections.empty())
             own.push_back({index, loads_.load_on(server)});
@@ -42,7 +42,7 @@
     if (config_.aggregates_fleet_load) state_.aggregator.on_message(now, replica, message);
 }
 
-bool HeadroomPublisher::is_troubled(TimePoint now, const ServerState& server) const {
+bool HeadroomPublisher::reports_as_degraded(TimePoint now, const ServerState& server) const {
     if (server.outliers.is_failing()) return true;
     if (server.load_limit.is_mild()) return false;
     const std::optional<double> limit = loads_.load_limit(now, server);
--- a/src/policy/headroom_publisher.h
+++ b/src/policy/headroom_publisher.h
@@ -50,8 +50,9 @@
     }
 
    private:
-    /// Whether the server was met failing, or slow at the load that this balancer has there.
-    bool is_troubled(TimePoint now, const ServerState&) const;
+    /// Whether to publish the marker of a degraded server in place of a load: the server is failing, or slow
+    /// at the load that this balancer has there.
+    bool reports_as_degraded(TimePoint now, const ServerState&) const;
 
     const PolicyConfig& config_;
     const ServerTable& servers_;
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -55,8 +55,8 @@
 
     /// The limit now, if there is one.
     std::optional<double> at(TimePoint now, double full_share) const;
-    /// False where at() has none whatever the server's full share, which need not be summed up then. Sums of
-    /// loads that came and went can end just below zero: such a limit is none.
+    /// Whether there may be a limit: where false, at() has none, and the full share need not be summed up. A
+    /// limit below zero, which sums of loads can end at, counts as none.
     bool is_set() const { return state_.limit && *state_.limit >= 0; }
     /// A random part of a connection, added to the limit. Many balancers have one connection or none on a
     /// server; rounded by chance, their whole connections add up to what the server can do, while all rounded
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -6,14 +6,12 @@
 
 namespace headrouter {
 
-/// The failure history of one server.
+/// The failure history of one server. What the server gets:
 ///
-/// | after                                   | the server gets                    | until | |
-/// --------------------------------------- | ---------------------------------- |
-/// ---------------------------- | | a failed attempt or a reset             | nothing | its backoff ends | |
-/// the backoff                             | one probing attempt at a time      | an attempt is established |
-/// | any failure                             | less of its share, by the penalty  | the penalty has faded |
-/// | a cycle in which it kept almost nothing | nothing                            | its ejection ends |
+/// - after a failed attempt or a reset: nothing, until its backoff ends;
+/// - after the backoff: one probing attempt at a time, until an attempt is established;
+/// - after any failure: less of its share, by the penalty, until the penalty has faded;
+/// - after a rebalance cycle in which it kept almost nothing: nothing, until its ejection ends.
 class OutlierDetector {
    public:
     struct State {
@@ -43,7 +41,8 @@
     bool on_reset(TimePoint now, size_t connections);
     /// An attempt was established: ends the backoff and forgives a part of the penalty.
     void on_established(TimePoint now);
-    /// Another process has taken the server's place: forgets the failures of the old one.
+    /// Another process has taken the server's place: ends penalty, backoff and ejection. The counts of the
+    /// cycle stay.
     void on_restart();
 
     void count_sent() { ++state_.sent_in_cycle; }
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -146,6 +146,7 @@
 }
 
 double Placement::expected_group_load(const PlacementContext& context) const {
+    // Members count as one mean load unit each.
     const double members = context.load + groups_.members_of(context.request.group);
     const double total = context.fleet.total_load;
     return preferred_margin * members * total / (total + groups_.size_uncertainty());
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -73,6 +73,7 @@
     const double largest = server.drain.record_excess(now, excess);
     const double part_of_cycle = largest / cycle_clock::cycles_remembered;
     const int migrations = std::max(fewest_migrations, static_cast<int>(std::ceil(part_of_cycle)));
+    // A migration is taken to free one mean load unit.
     const double surplus = std::min<double>(migrations, excess);
     start_drain(now, index, surplus, migrations, cycle_clock::active_time - drain_grace);
 }
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -15,7 +15,7 @@
    public:
     struct State {
         std::deque<RequestId> waiting;
-        bool has_timer = false;  ///< the timer of the next attempt is set
+        bool has_timer = false;  ///< the timer by which the waiting requests are looked at again is set
     };
 
     [[nodiscard]] const State& state() const { return state_; }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -29,7 +29,7 @@
     std::optional<ServerIndex> chosen_server;  ///< where the pipeline has placed the latest attempt
     std::optional<int> connection_index;       ///< among its server's connections, while it is one of them
     std::optional<double> load;                ///< as reported, in microseconds a second
-    bool is_protected = false;                 ///< recently failed over, and so not migrated again
+    bool is_protected = false;                 ///< failed over lately: stays until its server is balanced
     bool queued = false;                       ///< waits for a server that may take it
 };
 
--- a/src/policy/server_state.h
+++ b/src/policy/server_state.h
@@ -23,7 +23,7 @@
     std::optional<int> named_in_update;    ///< the latest endpoint update that named it
     int pending_attempts = 0;
     int protected_connections = 0;
-    TimePoint established_at;  ///< the latest
+    TimePoint established_at;  ///< the latest; read by no rule, kept for the form of version 1
     /// What a connection counts before the own share takes it here: exponential with mean 1, by replica
     /// index.
     double subset_draw = 1;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -15,7 +15,7 @@
 /// The id under which the endpoint list names a server.
 using ServerId = std::string;
 
-/// What a second execution of a request does: nothing, nothing within a retention, or harm.
+/// What a second execution of a request does: nothing, nothing within the deduplication window, or harm.
 enum class Idempotency { idempotent, keyed, non_idempotent };
 /// Which servers recognise a keyed request that one of them has run.
 enum class DedupScope { all, zone, cell };
--- a/src/retry/early_reset_rate.h
+++ b/src/retry/early_reset_rate.h
@@ -19,10 +19,10 @@
 
     void on_established(TimePoint now) { state_.established.add(now, 1); }
 
-    /// A reset counts only where the connection was established within the window: those of older ones say
+    /// A reset counts only where the connection's attempt was sent within the window: those of older ones say
     /// nothing of whether new ones hold.
-    void on_reset(TimePoint now, TimePoint established_at) {
-        if (now - established_at < window) state_.resets.add(now, 1);
+    void on_reset(TimePoint now, TimePoint sent_at) {
+        if (now - sent_at < window) state_.resets.add(now, 1);
     }
 
     /// Between 0 and, where establishments have left the window before their resets, a little over 1. Counts
--- a/src/router/request_adopter.cpp
+++ b/src/router/request_adopter.cpp
@@ -8,8 +8,8 @@
 constexpr Duration retry_interval = millis(200);
 constexpr Duration max_connect_timeout = seconds(2);
 
-// Since the start of the process: clients of earlier processes come within this time, and are tried for so
-// long. Those that come later are tried for the late limit.
+// Clients of an earlier process come back within this time after this one's start, and each is tried for so
+// long; a later client for late_time_limit.
 constexpr Duration adoption_period = seconds(39);
 constexpr Duration late_time_limit = seconds(2);
 }  // namespace
@@ -19,7 +19,7 @@
 }
 
 void RequestAdopter::connect(RequestId id, ActiveRequest& request, TimePoint now) {
-    request.server = request.request_line.established_at;
+    request.server = request.request_line.established_server;
     request.adoption_retry_at = TimePoint{};
     const std::optional<Address> address = endpoints_.address_of(request.server);
     if (!address) return schedule_retry(request, now);
--- a/src/router/request_intake.cpp
+++ b/src/router/request_intake.cpp
@@ -25,7 +25,7 @@
         return refuse_malformed(id, line, RequestLineError::id_in_use);
     }
     const TimePoint now = parts_.environment.now();
-    const bool is_new = parsed->established_at.empty();
+    const bool is_new = parsed->established_server.empty();
     const auto origin = is_new ? AdmissionControl::RequestOrigin::new_request
                                : AdmissionControl::RequestOrigin::established_before;
     if (const std::optional<AdmissionRejection> rejection = admission_.check(origin, now))
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -59,11 +59,11 @@
     if (upstream_.unsent_bytes(id) > unsent_high_watermark) downstream_.pause_reading(id, true);
 }
 
-void RequestRouter::on_server_drained(RequestId id) {
+void RequestRouter::on_server_writable(RequestId id) {
     if (upstream_.unsent_bytes(id) <= unsent_high_watermark / 2) downstream_.pause_reading(id, false);
 }
 
-void RequestRouter::on_client_drained(RequestId id) {
+void RequestRouter::on_client_writable(RequestId id) {
     if (downstream_.unsent_bytes(id) <= unsent_high_watermark / 2) upstream_.pause_reading(id, false);
 }
 
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -28,10 +28,10 @@
 
 namespace headrouter {
 
-/// Tells the balancing policy what happens and carries out what it decides. The router itself decides
-/// nothing; it adds what sockets need: an answer in any case before the client gives up, the end of one
-/// connection handed on to the other one, a last look at the endpoint list before a byte goes out. It runs on
-/// the thread of the event loop.
+/// Tells the balancing policy what happens and carries out what it decides. It decides nothing about
+/// placement and retries; it adds what sockets need: admission, an answer in any case before the client gives
+/// up, the end of one connection handed on to the other one, a last look at the endpoint list before a byte
+/// goes out. It runs on the thread of the event loop.
 class RequestRouter : public DownstreamEvents,
                       public UpstreamEvents,
                       public GossipEvents,
@@ -48,7 +48,7 @@
     void on_client_bytes(RequestId, std::string_view bytes) override;
     void on_client_closed(RequestId, CloseReason) override;
     void on_early_client_data(RequestId) override;
-    void on_client_drained(RequestId) override;
+    void on_client_writable(RequestId) override;
 
     bool may_send(RequestId id) override { return attempts_.may_send(id); }
     void on_attempt_written(RequestId id) override { attempts_.on_written(id); }
@@ -61,7 +61,7 @@
     void on_attempt_ended(RequestId id, const AttemptResult& result) override {
         attempts_.on_ended(id, result);
     }
-    void on_server_drained(RequestId) override;
+    void on_server_writable(RequestId) override;
 
     void on_gossip(int replica_index, const std::string& bytes) override;
 
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -187,7 +187,7 @@
         attempt->stage = Stage::awaiting_response;
         events_->on_attempt_written(connection.id());
     }
-    if (attempt->stage == Stage::established) events_->on_server_drained(connection.id());
+    if (attempt->stage == Stage::established) events_->on_server_writable(connection.id());
 }
 
 void Upstream::on_bytes(LineConnection& connection, std::string_view bytes, bool is_whole) {
--- a/src/upstream/upstream_interface.h
+++ b/src/upstream/upstream_interface.h
@@ -76,7 +76,7 @@
     virtual void on_attempt_ended(RequestId, const AttemptResult&) = 0;
 
     /// The kernel has taken some of the unsent bytes.
-    virtual void on_server_drained(RequestId) = 0;
+    virtual void on_server_writable(RequestId) = 0;
 };
 
 }  // namespace headrouter
--- a/tests/downstream/test_request_line.cpp
+++ b/tests/downstream/test_request_line.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ(parsed->request.group, "q");
     EXPECT_TRUE(parsed->request.is_reconnect);
     EXPECT_EQ(parsed->wait, seconds(2));
-    EXPECT_EQ(parsed->established_at, "");
+    EXPECT_EQ(parsed->established_server, "");
     EXPECT_EQ(parsed->line_with_wait(millis(7.9)), start + "c=pay,t=y,d=7,g=q,again=1,h=250,other=z\r\n");
     EXPECT_EQ(parsed->line_with_wait({}), start + "c=pay,t=y,d=1,g=q,again=1,h=250,other=z\r\n");
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -176,7 +176,7 @@
     return config;
 }
 
-/// The configuration of one of many balancers. Its index is also its seed.
+/// The configuration of one of many balancers. PolicyFixture draws its seed from the index.
 inline PolicyConfig make_replica_config(uint64_t replica_index) {
     PolicyConfig config = make_config();
     config.replica_index = replica_index;
--- a/tests/router/test_established_requests.cpp
+++ b/tests/router/test_established_requests.cpp
@@ -54,7 +54,7 @@
     fixture.router.on_server_bytes(1, "x\r\n", true);
     EXPECT_EQ(fixture.upstream.actions.back(), "pause");
     fixture.downstream.unsent = 0;
-    fixture.router.on_client_drained(1);
+    fixture.router.on_client_writable(1);
     EXPECT_EQ(fixture.upstream.actions.back(), "resume");
 }
 
