--- a/tests/proxy/process_fixture.h
+++ b/tests/proxy/process_fixture.h
@@ -169,7 +169,7 @@
         return address;
     }
     /// Plays the starting process of a hot restart, with a state of form `state_name`.
-    Peer connect_as_child(const std::string& state_name) {
+    Peer connect_as_child(const std::string& state_name) const {
         Peer child{FileDescriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0)), {}};
         const sockaddr_un address = hot_restart_address();
         EXPECT_EQ(connect(child.fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
@@ -177,7 +177,7 @@
         return child;
     }
     /// Plays the running process of a hot restart: where the next one connects.
-    FileDescriptor listen_as_parent() {
+    FileDescriptor listen_as_parent() const {
         unlink(hot_restart_socket.c_str());
         const sockaddr_un address = hot_restart_address();
         FileDescriptor fd(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
