--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -43,7 +43,7 @@
         if (!fd) {
             const AcceptError error = classify_accept_error(errno);
             if (error == AcceptError::queue_empty) return;
-            if (error == AcceptError::one_connection) continue;
+            if (error == AcceptError::connection_failed) continue;
             // The loop would report the socket again at once.
             accept_watcher_.stop();
             return accept_retry_.start_once(pause_after_failure);
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -61,7 +61,7 @@
         if (!client) {
             const AcceptError error = classify_accept_error(errno);
             if (error == AcceptError::queue_empty) return had_clients;
-            if (error != AcceptError::one_connection) return true;
+            if (error != AcceptError::connection_failed) return true;
             ++failures;
             continue;
         }
@@ -91,7 +91,7 @@
         const AcceptError error = classify_accept_error(errno);
         if (error == AcceptError::queue_empty) return;
         counters_.add(Counter::accepts_failed);
-        if (error == AcceptError::one_connection) continue;
+        if (error == AcceptError::connection_failed) continue;
         if (error == AcceptError::no_descriptor && accept_by_spare_descriptor()) return;
         return retry_later();
     }
--- a/src/hot_restart/balancer_state.cpp
+++ b/src/hot_restart/balancer_state.cpp
@@ -50,7 +50,7 @@
     visit(request.attempt_running);
     visit(request.is_established);
     visit(request.is_adopted);
-    visit(request.in_mid_line);
+    visit(request.server_line_incomplete);
     visit(request.migration_pending);
     visit(request.migration_requested_at);
     visit(request.may_have_run);
--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -26,8 +26,8 @@
 
     bool attempt_running = false;
     bool is_established = false;
-    bool is_adopted = false;   ///< it was established before this process, see RequestAdopter
-    bool in_mid_line = false;  ///< the last bytes of its server did not end a line
+    bool is_adopted = false;              ///< it was established before this process, see RequestAdopter
+    bool server_line_incomplete = false;  ///< the last bytes of its server did not end a line
 
     bool migration_pending = false;    ///< to be migrated at the end of its server's line
     TimePoint migration_requested_at;  ///< where `migration_pending`
--- a/src/router/attempt_handler.cpp
+++ b/src/router/attempt_handler.cpp
@@ -14,62 +14,62 @@
 
 void AttemptHandler::start(const StartAttemptAction& action) {
     const RequestId id = action.request_id;
-    ActiveRequest* request = parts_.active_requests.find(id);
-    if (!request || request->is_established) return parts_.counters.add(Counter::late_events);
-    const TimePoint now = parts_.environment.now();
-    parts_.counters.must_hold(!request->attempt_running);
+    ActiveRequest* request = context_.active_requests.find(id);
+    if (!request || request->is_established) return context_.counters.add(Counter::late_events);
+    const TimePoint now = context_.environment.now();
+    context_.counters.must_hold(!request->attempt_running);
     request->attempt = request->attempt ? *request->attempt + 1 : 0;
     request->server = action.server;
     request->attempt_started_at = now;
     request->attempt_running = true;
     const Duration time_left = std::max(request->request_line.request.deadline - now, Duration{});
     const Duration timeout = action.timeout.ns > 0 ? std::min(action.timeout, time_left) : time_left;
-    const std::optional<Address> address = parts_.endpoints.address_of(action.server);
+    const std::optional<Address> address = context_.endpoints.address_of(action.server);
     if (!address) return on_ended(id, {.outcome = AttemptOutcome::connect_failed});
-    if (!parts_.endpoints.is_active(action.server))
+    if (!context_.endpoints.is_active(action.server))
         return on_ended(id, {.outcome = AttemptOutcome::not_sent});
-    parts_.counters.add(Counter::attempts_started);
-    parts_.upstream.start_attempt(id, *address, request->request_line.line_with_wait(timeout),
-                                  parts_.config.connect_timeout, timeout);
+    context_.counters.add(Counter::attempts_started);
+    context_.upstream.start_attempt(id, *address, request->request_line.line_with_wait(timeout),
+                                    context_.config.connect_timeout, timeout);
 }
 
 bool AttemptHandler::may_send(RequestId id) {
-    parts_.downstream.poll_now(id);
-    const ActiveRequest* request = parts_.active_requests.find(id);
+    context_.downstream.poll_now(id);
+    const ActiveRequest* request = context_.active_requests.find(id);
     if (!request) return false;
     if (request->is_adopted) return true;
-    return parts_.endpoints.is_active(request->server) && !parts_.environment.is_endpoint_list_outdated();
+    return context_.endpoints.is_active(request->server) && !context_.environment.is_endpoint_list_outdated();
 }
 
 void AttemptHandler::on_written(RequestId id) {
-    ActiveRequest* request = parts_.active_requests.find(id);
-    if (!request) return parts_.counters.add(Counter::late_events);
+    ActiveRequest* request = context_.active_requests.find(id);
+    if (!request) return context_.counters.add(Counter::late_events);
     request->may_have_run_before_attempt = request->may_have_run;
     request->may_have_run = true;
-    parts_.setup_counters.add_forward();
+    context_.setup_counters.add_forward();
 }
 
 void AttemptHandler::on_established(RequestId id, std::string_view line) {
-    ActiveRequest* request = parts_.active_requests.find(id);
-    if (!request || !request->attempt) return parts_.counters.add(Counter::late_events);
+    ActiveRequest* request = context_.active_requests.find(id);
+    if (!request || !request->attempt) return context_.counters.add(Counter::late_events);
     request->is_established = true;
-    parts_.log.debug("request_established", {{"request", id}, {"server", request->server}});
-    parts_.counters.add(request->is_adopted ? Counter::requests_adopted : Counter::requests_established);
-    parts_.completion.record_setup(*request, admin::SetupOutcome::succeeded);
-    parts_.downstream.forward(id, line);
-    const TimePoint now = parts_.environment.now();
+    context_.log.debug("request_established", {{"request", id}, {"server", request->server}});
+    context_.counters.add(request->is_adopted ? Counter::requests_adopted : Counter::requests_established);
+    context_.completion.record_setup(*request, admin::SetupOutcome::succeeded);
+    context_.downstream.forward(id, line);
+    const TimePoint now = context_.environment.now();
     if (request->is_adopted)
-        parts_.policy.on_request_adopted(now, request->request_line.request, request->server);
+        context_.policy.on_request_adopted(now, request->request_line.request, request->server);
     else
-        parts_.policy.on_attempt_established(now, id, *request->attempt, now - request->attempt_started_at);
-    parts_.actions.perform_all();
-    parts_.downstream.start(id);
+        context_.policy.on_attempt_established(now, id, *request->attempt, now - request->attempt_started_at);
+    context_.actions.perform_all();
+    context_.downstream.start(id);
 }
 
 void AttemptHandler::on_ended(RequestId id, const AttemptResult& result) {
-    ActiveRequest* request = parts_.active_requests.find(id);
-    if (!request || !request->attempt) return parts_.counters.add(Counter::late_events);
-    const TimePoint now = parts_.environment.now();
+    ActiveRequest* request = context_.active_requests.find(id);
+    if (!request || !request->attempt) return context_.counters.add(Counter::late_events);
+    const TimePoint now = context_.environment.now();
     const Duration duration = now - request->attempt_started_at;
     request->attempt_running = false;
     // The server turned the attempt away, so it did not run; an earlier one may have.
@@ -82,39 +82,40 @@
     const bool is_last = request->is_established || completed;
     const int attempt = *request->attempt;
     if (completed)
-        parts_.counters.add(Counter::requests_completed);
+        context_.counters.add(Counter::requests_completed);
     else
-        parts_.counters.add(request->is_established ? Counter::requests_broken : counter_of(result.outcome));
+        context_.counters.add(request->is_established ? Counter::requests_broken
+                                                      : counter_of(result.outcome));
     if (is_last) end_client(id, *request, result);
-    parts_.policy.on_attempt_ended(now, id, attempt, result.outcome, duration, is_last, {});
-    parts_.actions.perform_all();
+    context_.policy.on_attempt_ended(now, id, attempt, result.outcome, duration, is_last, {});
+    context_.actions.perform_all();
 }
 
 void AttemptHandler::log_ended(RequestId id, const ActiveRequest& request, const AttemptResult& result,
                                Duration duration) {
-    parts_.log.debug("attempt_ended", {{"request", id},
-                                       {"server", request.server},
-                                       {"attempt", *request.attempt},
-                                       {"adopted", request.is_adopted},
-                                       {"established", request.is_established},
-                                       {"outcome", name_of(result.outcome)},
-                                       {"silent", result.server_silent},
-                                       {"reply", trim_line_end(result.reply)},
-                                       {"duration_ms", duration.ns / ns_per_ms}});
+    context_.log.debug("attempt_ended", {{"request", id},
+                                         {"server", request.server},
+                                         {"attempt", *request.attempt},
+                                         {"adopted", request.is_adopted},
+                                         {"established", request.is_established},
+                                         {"outcome", name_of(result.outcome)},
+                                         {"silent", result.server_silent},
+                                         {"reply", trim_line_end(result.reply)},
+                                         {"duration_ms", duration.ns / ns_per_ms}});
 }
 
 void AttemptHandler::end_client(RequestId id, const ActiveRequest& request, const AttemptResult& result) {
     const bool was_established = request.is_established;
-    const bool may_migrate = result.server_silent && !request.in_mid_line;
+    const bool may_migrate = result.server_silent && !request.server_line_incomplete;
     // To its client, a request that ended before it was established has failed.
-    if (!was_established) parts_.completion.record_setup(request, admin::SetupOutcome::aborted);
-    parts_.active_requests.remove(id);
+    if (!was_established) context_.completion.record_setup(request, admin::SetupOutcome::aborted);
+    context_.active_requests.remove(id);
     if (!was_established)
-        parts_.downstream.reply(id, result.reply);
+        context_.downstream.reply(id, result.reply);
     else if (may_migrate)
-        parts_.downstream.reply(id, move_reply);
+        context_.downstream.reply(id, move_reply);
     else
-        parts_.downstream.close(id, result.close_reason);
+        context_.downstream.close(id, result.close_reason);
 }
 
 }  // namespace headrouter
--- a/src/router/attempt_handler.h
+++ b/src/router/attempt_handler.h
@@ -3,7 +3,7 @@
 #include <string_view>
 
 #include "base/time.h"
-#include "router/router_parts.h"
+#include "router/router_context.h"
 
 namespace headrouter {
 
@@ -11,7 +11,7 @@
 /// established a request, and the end of that attempt, go on to the client.
 class AttemptHandler {
    public:
-    explicit AttemptHandler(const RouterParts& parts) : parts_(parts) {}
+    explicit AttemptHandler(const RouterContext& context) : context_(context) {}
 
     /// An attempt at a server whose address is not known, or that is no longer active, ends at once.
     void start(const StartAttemptAction&);
@@ -29,7 +29,7 @@
     /// Hands the end of the server's connection on to the client.
     void end_client(RequestId, const ActiveRequest&, const AttemptResult&);
 
-    RouterParts parts_;
+    RouterContext context_;
 };
 
 }  // namespace headrouter
--- a/src/router/request_completion.cpp
+++ b/src/router/request_completion.cpp
@@ -27,7 +27,7 @@
 void RequestCompletion::migrate(RequestId id, TimePoint now) {
     ActiveRequest* request = active_requests_.find(id);
     if (!request || !request->is_established) return counters_.add(Counter::late_events);
-    if (request->in_mid_line) {
+    if (request->server_line_incomplete) {
         if (!request->migration_pending) request->migration_requested_at = now;
         request->migration_pending = true;
         return;
--- a/src/router/request_intake.cpp
+++ b/src/router/request_intake.cpp
@@ -17,14 +17,14 @@
 }  // namespace
 
 void RequestIntake::on_request_line(RequestId id, std::string_view line) {
-    Result<RequestLine, RequestLineError> parsed = parse_request_line(line, parts_.config);
+    Result<RequestLine, RequestLineError> parsed = parse_request_line(line, context_.config);
     if (!parsed) return refuse_malformed(id, line, parsed.error());
-    if (parts_.active_requests.has_wire_id(parsed->wire_id)) {
+    if (context_.active_requests.has_wire_id(parsed->wire_id)) {
         // Servers know the id too: each of them would turn the line away and be penalized for it.
-        parts_.counters.add(Counter::ids_open_already);
+        context_.counters.add(Counter::ids_open_already);
         return refuse_malformed(id, line, RequestLineError::id_in_use);
     }
-    const TimePoint now = parts_.environment.now();
+    const TimePoint now = context_.environment.now();
     const bool is_new = parsed->established_server.empty();
     const auto origin = is_new ? AdmissionControl::RequestOrigin::new_request
                                : AdmissionControl::RequestOrigin::established_before;
@@ -37,39 +37,39 @@
 }
 
 void RequestIntake::refuse_malformed(RequestId id, std::string_view line, RequestLineError error) {
-    parts_.counters.add(Counter::malformed_client_lines);
-    parts_.log.debug("request_malformed",
-                     {{"request", id}, {"found", describe(error)}, {"line", trim_line_end(line)}});
-    parts_.downstream.reply(id, error_reply);
+    context_.counters.add(Counter::malformed_client_lines);
+    context_.log.debug("request_malformed",
+                       {{"request", id}, {"found", describe(error)}, {"line", trim_line_end(line)}});
+    context_.downstream.reply(id, error_reply);
 }
 
 void RequestIntake::reject(RequestId id, const RequestLine& request_line,
                            const AdmissionRejection& rejection) {
-    parts_.counters.add(rejection.counter);
-    parts_.log.debug("request_refused", {{"request", id}, {"reason", rejection.reason}});
-    parts_.setup_counters.add(admin::SetupOutcome::declined, request_line.request.type);
-    parts_.downstream.reply(id, busy_reply_after(rejection.retry_after));
+    context_.counters.add(rejection.counter);
+    context_.log.debug("request_refused", {{"request", id}, {"reason", rejection.reason}});
+    context_.setup_counters.add(admin::SetupOutcome::declined, request_line.request.type);
+    context_.downstream.reply(id, busy_reply_after(rejection.retry_after));
 }
 
 void RequestIntake::accept(RequestId id, RequestLine request_line, TimePoint now) {
-    ActiveRequest& active = parts_.active_requests.add(id, std::move(request_line));
+    ActiveRequest& active = context_.active_requests.add(id, std::move(request_line));
     Request& request = active.request_line.request;
     const Duration wait = active.request_line.wait;
     request.id = id;
     request.deadline = now + wait - std::min(reply_margin, wait * max_reply_margin_per_wait);
-    parts_.counters.add(Counter::requests_accepted);
+    context_.counters.add(Counter::requests_accepted);
     recent_reconnects_.add(now, request.is_reconnect);
-    parts_.policy.on_request(now, request);
-    parts_.actions.perform_all();
+    context_.policy.on_request(now, request);
+    context_.actions.perform_all();
 }
 
 void RequestIntake::adopt(RequestId id, RequestLine request_line, TimePoint now) {
-    ActiveRequest& active = parts_.active_requests.add(id, std::move(request_line));
+    ActiveRequest& active = context_.active_requests.add(id, std::move(request_line));
     Request& request = active.request_line.request;
     active.is_adopted = true;
     request.id = id;
-    request.deadline = now + parts_.adopter.time_limit(now);
-    parts_.adopter.connect(id, active, now);
+    request.deadline = now + context_.adopter.time_limit(now);
+    context_.adopter.connect(id, active, now);
 }
 
 }  // namespace headrouter
--- a/src/router/request_intake.h
+++ b/src/router/request_intake.h
@@ -5,7 +5,7 @@
 #include "base/sliding_window.h"
 #include "downstream/request_line.h"
 #include "router/admission_control.h"
-#include "router/router_parts.h"
+#include "router/router_context.h"
 
 namespace headrouter {
 
@@ -14,9 +14,9 @@
 class RequestIntake {
    public:
     /// `recent_reconnects` counts the requests whose earlier connections had broken or been migrated.
-    RequestIntake(const RouterParts& parts, const AdmissionControl& admission,
+    RequestIntake(const RouterContext& context, const AdmissionControl& admission,
                   SlidingWindow<5>& recent_reconnects)
-        : parts_(parts), admission_(admission), recent_reconnects_(recent_reconnects) {}
+        : context_(context), admission_(admission), recent_reconnects_(recent_reconnects) {}
 
     /// The first line of a connection, with its line end; it may be malformed.
     void on_request_line(RequestId, std::string_view line);
@@ -27,7 +27,7 @@
     void accept(RequestId, RequestLine, TimePoint now);
     void adopt(RequestId, RequestLine, TimePoint now);
 
-    RouterParts parts_;
+    RouterContext context_;
     const AdmissionControl& admission_;
     SlidingWindow<5>& recent_reconnects_;
 };
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -21,10 +21,10 @@
       completion_(active_requests_, downstream_, upstream_, setup_counters_, counters_, log_),
       actions_(*this, environment_.set_timer),
       admission_(environment_, shutdown_, config_.policy),
-      intake_(parts(), admission_, recent_reconnects_),
-      attempts_(parts()),
-      watchdog_(parts()),
-      drain_(parts(), shutdown_),
+      intake_(context(), admission_, recent_reconnects_),
+      attempts_(context()),
+      watchdog_(context()),
+      drain_(context(), shutdown_),
       policy_(config_.policy, seed, actions_, environment_.now()) {}
 
 RequestRouter::State RequestRouter::state() const {
@@ -46,7 +46,7 @@
     setup_counters_.grow_to(config_.request_class_names.size());
 }
 
-RouterParts RequestRouter::parts() {
+RouterContext RequestRouter::context() {
     return {config_,          environment_, downstream_, upstream_, endpoints_,
             active_requests_, adopter_,     completion_, policy_,   actions_,
             setup_counters_,  counters_,    log_};
@@ -100,7 +100,7 @@
 void RequestRouter::on_server_bytes(RequestId id, std::string_view bytes, bool complete) {
     ActiveRequest* request = active_requests_.find(id);
     if (!request) return counters_.add(Counter::late_events);
-    request->in_mid_line = !complete;
+    request->server_line_incomplete = !complete;
     downstream_.forward(id, bytes);
     if (downstream_.unsent_bytes(id) > unsent_high_watermark) upstream_.pause_reading(id, true);
     if (request->migration_pending && complete) completion_.migrate(id, environment_.now());
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -20,8 +20,8 @@
 #include "router/request_completion.h"
 #include "router/request_intake.h"
 #include "router/request_watchdog.h"
+#include "router/router_context.h"
 #include "router/router_environment.h"
-#include "router/router_parts.h"
 #include "router/shutdown_drain.h"
 #include "router/shutdown_schedule.h"
 #include "upstream/upstream_interface.h"
@@ -110,7 +110,7 @@
     void restore(State state);
 
    private:
-    RouterParts parts();
+    RouterContext context();
 
     void perform(const StartAttemptAction& action) override { attempts_.start(action); }
     void perform(const RejectAction&) override;
--- a/src/router/request_watchdog.cpp
+++ b/src/router/request_watchdog.cpp
@@ -21,12 +21,12 @@
     for (const RequestId id : due.overdue) fail_overdue(id, now);
     for (const RequestId id : due.stuck_migrations) end_stuck_migration(id);
     for (const RequestId id : due.adoption_retries)
-        parts_.adopter.connect(id, *parts_.active_requests.find(id), now);
+        context_.adopter.connect(id, *context_.active_requests.find(id), now);
 }
 
 RequestWatchdog::DueRequests RequestWatchdog::find_due(TimePoint now) const {
     DueRequests due;
-    parts_.active_requests.for_each([&](RequestId id, const ActiveRequest& request) {
+    context_.active_requests.for_each([&](RequestId id, const ActiveRequest& request) {
         if (request.is_established) {
             if (request.migration_pending && now - request.migration_requested_at > max_migration_wait)
                 due.stuck_migrations.push_back(id);
@@ -42,20 +42,20 @@
 }
 
 void RequestWatchdog::fail_overdue(RequestId id, TimePoint now) {
-    const ActiveRequest& request = *parts_.active_requests.find(id);
+    const ActiveRequest& request = *context_.active_requests.find(id);
     const bool policy_knows = request.is_known_to_policy();
     const Duration late = now - request.request_line.request.deadline;
-    parts_.counters.add(Counter::answers_overdue);
-    parts_.log.warning("answer_overdue", {{"request", id}, {"late_ms", late.ns / ns_per_ms}});
-    parts_.upstream.close(id, CloseReason::fin);
-    if (policy_knows) parts_.policy.on_client_gone(now, id);
-    parts_.completion.fail(id);
+    context_.counters.add(Counter::answers_overdue);
+    context_.log.warning("answer_overdue", {{"request", id}, {"late_ms", late.ns / ns_per_ms}});
+    context_.upstream.close(id, CloseReason::fin);
+    if (policy_knows) context_.policy.on_client_gone(now, id);
+    context_.completion.fail(id);
 }
 
 void RequestWatchdog::end_stuck_migration(RequestId id) {
-    parts_.active_requests.remove(id);
-    parts_.upstream.close(id, CloseReason::fin);
-    parts_.downstream.close(id, CloseReason::fin);
+    context_.active_requests.remove(id);
+    context_.upstream.close(id, CloseReason::fin);
+    context_.downstream.close(id, CloseReason::fin);
 }
 
 }  // namespace headrouter
--- a/src/router/request_watchdog.h
+++ b/src/router/request_watchdog.h
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "router/router_parts.h"
+#include "router/router_context.h"
 
 namespace headrouter {
 
@@ -11,7 +11,7 @@
 /// retries the servers of adopted requests.
 class RequestWatchdog {
    public:
-    explicit RequestWatchdog(const RouterParts& parts) : parts_(parts) {}
+    explicit RequestWatchdog(const RouterContext& context) : context_(context) {}
 
     /// To be called ten times a second.
     void check(TimePoint now);
@@ -28,7 +28,7 @@
     void fail_overdue(RequestId, TimePoint now);
     void end_stuck_migration(RequestId);
 
-    RouterParts parts_;
+    RouterContext context_;
 };
 
 }  // namespace headrouter
--- a/src/router/router_parts.h
+++ b/src/router/router_context.h
@@ -17,7 +17,7 @@
 namespace headrouter {
 
 /// References to what RequestRouter owns or was given. All outlive the parts.
-struct RouterParts {
+struct RouterContext {
     const ClusterConfig& config;
     const RouterEnvironment& environment;
     DownstreamInterface& downstream;
--- a/src/router/shutdown_drain.h
+++ b/src/router/shutdown_drain.h
@@ -1,7 +1,7 @@
 /// How the requests of a process that shuts down end.
 #pragma once
 #include "base/time.h"
-#include "router/router_parts.h"
+#include "router/router_context.h"
 #include "router/shutdown_schedule.h"
 
 namespace headrouter {
@@ -10,8 +10,8 @@
 /// are answered as they are.
 class ShutdownDrain {
    public:
-    ShutdownDrain(const RouterParts& parts, const ShutdownSchedule& schedule)
-        : parts_(parts), schedule_(schedule) {}
+    ShutdownDrain(const RouterContext& context, const ShutdownSchedule& schedule)
+        : context_(context), schedule_(schedule) {}
 
     /// To be called ten times a second while the schedule drains.
     void step(TimePoint now);
@@ -19,7 +19,7 @@
    private:
     void end_unestablished(RequestId, TimePoint now);
 
-    RouterParts parts_;
+    RouterContext context_;
     const ShutdownSchedule& schedule_;
 };
 
--- a/src/transport/socket_error.cpp
+++ b/src/transport/socket_error.cpp
@@ -27,7 +27,7 @@
         case EHOSTDOWN:
         case EHOSTUNREACH:
         case ENONET:
-        case ETIMEDOUT: return AcceptError::one_connection;
+        case ETIMEDOUT: return AcceptError::connection_failed;
         default: return AcceptError::shortage;
     }
 }
--- a/src/transport/socket_error.h
+++ b/src/transport/socket_error.h
@@ -5,10 +5,10 @@
 namespace headrouter {
 
 enum class AcceptError {
-    queue_empty,     ///< nobody waits
-    one_connection,  ///< that connection has failed, others may wait behind it
-    no_descriptor,   ///< this process or the machine has none left
-    shortage         ///< the machine lacks something else for the moment
+    queue_empty,        ///< nobody waits
+    connection_failed,  ///< that connection has failed, others may wait behind it
+    no_descriptor,      ///< this process or the machine has none left
+    shortage            ///< the machine lacks something else for the moment
 };
 
 /// `error` is errno after accept4() failed. Linux reports errors of the new connection's network in this way
--- a/tests/planted/twice.cmake
+++ b/tests/planted/twice.cmake
@@ -1,6 +1,6 @@
 # Answers a request that came up twice.
 set(PLANT_SOURCE src/router/attempt_handler.cpp)
-set(PLANT_FROM [==[    parts_.downstream.forward(id, line);
+set(PLANT_FROM [==[    context_.downstream.forward(id, line);
     const TimePoint now]==])
-set(PLANT_TO [==[    parts_.downstream.forward(id, line), parts_.downstream.forward(id, line);
+set(PLANT_TO [==[    context_.downstream.forward(id, line), context_.downstream.forward(id, line);
     const TimePoint now]==])
