--- a/src/router/active_requests.h
+++ b/src/router/active_requests.h
@@ -1,4 +1,4 @@
-/// The table of the requests that a balancer has in hand.
+/// Stores the requests that a balancer is currently handling.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -14,35 +14,38 @@
 
 namespace headrouter {
 
-/// A request from its request line to the end of its client's connection. It has one attempt at a time.
+/// State of a request from the arrival of its request line until its client's connection is closed. A request
+/// has at most one running attempt.
 struct ActiveRequest {
     RequestLine request_line;
-    ServerId server;               ///< of the latest attempt
-    TimePoint attempt_started_at;  ///< of the latest attempt
-    std::optional<int> attempt;    ///< number of the latest attempt, counted from 0
+    ServerId server;               ///< server of the latest attempt
+    TimePoint attempt_started_at;  ///< start of the latest attempt
+    std::optional<int> attempt;    ///< number of the latest attempt, starting at 0; empty before the first
 
-    /// Adopted: when its server is connected to again; zero where an attempt runs.
+    /// Time of the next connection attempt to the server of an adopted request; zero while an attempt runs.
     TimePoint adoption_retry_at;
 
     bool attempt_running = false;
     bool is_established = false;
-    bool is_adopted = false;              ///< it was established before this process, see RequestAdopter
-    bool server_line_incomplete = false;  ///< the last bytes of its server did not end a line
+    bool is_adopted = false;              ///< established before this process started, see RequestAdopter
+    bool server_line_incomplete = false;  ///< the last bytes from the server did not end a line
 
-    bool migration_pending = false;    ///< to be migrated at the end of its server's line
-    TimePoint migration_requested_at;  ///< where `migration_pending`
+    bool migration_pending = false;    ///< to be migrated when the server's line ends
+    TimePoint migration_requested_at;  ///< valid only if `migration_pending`
 
-    bool may_have_run = false;                 ///< some attempt was written that the server did not turn away
-    bool may_have_run_before_attempt = false;  ///< the same before the latest attempt
+    bool may_have_run = false;                 ///< an attempt was written and not rejected by its server
+    bool may_have_run_before_attempt = false;  ///< `may_have_run` before the latest attempt was written
 
-    /// The policy hears of an adopted request only once that is established again.
+    /// Returns whether the request was reported to the policy. An adopted request is reported only once it is
+    /// established again.
     bool is_known_to_policy() const { return is_established || !is_adopted; }
 };
 
-/// Whether the client of a request that the policy has not answered may ask again, see retry_policy.
+/// Returns whether the client may retry a request that ends without an answer from the policy, see
+/// retry_policy.
 bool may_client_retry(const ActiveRequest&, const PolicyConfig&);
 
-/// Active requests by the balancer's id, and the ids by which servers know them.
+/// Holds the active requests by RequestId, and the set of their ids on the wire.
 class ActiveRequests {
    public:
     using State = std::unordered_map<RequestId, ActiveRequest>;
@@ -50,28 +53,29 @@
     const State& state() const { return requests_; }
     void restore(State state);
 
-    /// Null where there is no such request. Valid until the request is removed.
+    /// Returns null if there is no such request. The pointer is valid until the request is removed.
     ActiveRequest* find(RequestId);
 
     ActiveRequest& add(RequestId, RequestLine);
 
-    /// False where there was no such request.
+    /// Returns false if there was no such request.
     bool remove(RequestId);
 
-    /// Whether one of them has this id on the wire.
+    /// Returns whether an active request has this id on the wire.
     bool has_wire_id(const std::string& wire_id) const { return wire_ids_.contains(wire_id); }
 
     size_t size() const { return requests_.size(); }
     bool empty() const { return requests_.empty(); }
     void clear();
 
-    /// Calls `visit(RequestId, const ActiveRequest&)` for each, in no particular order.
+    /// Calls `visit(RequestId, const ActiveRequest&)` for each request, in no particular order.
     template <class Visitor>
     void for_each(Visitor visit) const {
         for (const auto& [id, request] : requests_) visit(id, request);
     }
 
-    /// The ids of those for which `predicate(const ActiveRequest&)` holds, in ascending order.
+    /// Returns the ids of the requests for which `predicate(const ActiveRequest&)` is true, in ascending
+    /// order.
     template <class Predicate>
     std::vector<RequestId> sorted_ids_if(Predicate predicate) const {
         std::vector<RequestId> ids;
--- a/src/router/admission_control.h
+++ b/src/router/admission_control.h
@@ -1,4 +1,4 @@
-/// Whether a balancer takes a request at all, before the policy hears of it.
+/// Decides whether the balancer admits a request, before the request is reported to the policy.
 #pragma once
 #include <optional>
 #include <string_view>
@@ -11,34 +11,34 @@
 
 namespace headrouter {
 
-/// Why a request is rejected, and what its client is told.
+/// The reason why a request is rejected, and the retry delay sent to its client.
 struct AdmissionRejection {
-    Counter counter;          ///< that counts it
-    std::string_view reason;  ///< for the log; static
-    Duration retry_after;     ///< zero: the client may ask again at once
+    Counter counter;          ///< counter of this kind of rejection
+    std::string_view reason;  ///< reason in the log; refers to a static string
+    Duration retry_after;     ///< zero if the client may retry at once
 };
 
-/// Rejects what this process cannot serve: nothing has run, so asking again, here or at another balancer, is
-/// harmless.
+/// Rejects requests that this process cannot serve. No attempt has been made for them, so a retry at this or
+/// another balancer is safe.
 class AdmissionControl {
    public:
     enum class RequestOrigin {
         new_request,
-        established_before,  ///< its server serves it already, see RequestAdopter
+        established_before,  ///< a server already serves the request, see RequestAdopter
     };
 
-    /// All must outlive it.
+    /// All arguments must outlive this object.
     AdmissionControl(const RouterEnvironment& environment, const ShutdownSchedule& shutdown,
                      const PolicyConfig& config)
         : environment_(environment), shutdown_(shutdown), config_(config) {}
 
-    /// Nothing where the request is admitted. New requests need an endpoint list that is not outdated, as
-    /// another balancer may have a newer one, then descriptors and memory, for which idle connections may be
-    /// closed. No request is taken while the process drains.
+    /// Returns nothing if the request is admitted. A new request is rejected if the endpoint list is
+    /// outdated, because another balancer may have a newer one, and then if descriptors or memory are short;
+    /// idle connections may be closed to free them. Every request is rejected while the process drains.
     [[nodiscard]] std::optional<AdmissionRejection> check(RequestOrigin, TimePoint now) const;
 
    private:
-    std::optional<Counter> find_obstacle() const;
+    std::optional<Counter> find_rejection_counter() const;
 
     const RouterEnvironment& environment_;
     const ShutdownSchedule& shutdown_;
--- a/src/router/attempt_handler.cpp
+++ b/src/router/attempt_handler.cpp
@@ -72,10 +72,10 @@
     const TimePoint now = context_.environment.now();
     const Duration duration = now - request->attempt_started_at;
     request->attempt_running = false;
-    // The server turned the attempt away, so it did not run; an earlier one may have.
+    // The server rejected this attempt, so the request did not run in it; it may have run in an earlier one.
     if (result.outcome == AttemptOutcome::at_capacity)
         request->may_have_run = request->may_have_run_before_attempt;
-    log_ended(id, *request, result, duration);
+    log_attempt_ended(id, *request, result, duration);
     if (request->is_adopted && !request->is_established) return RequestAdopter::schedule_retry(*request, now);
 
     const bool completed = result.outcome == AttemptOutcome::completed;
@@ -86,13 +86,13 @@
     else
         context_.counters.add(request->is_established ? Counter::requests_broken
                                                       : counter_of(result.outcome));
-    if (is_last) end_client(id, *request, result);
+    if (is_last) end_client_connection(id, *request, result);
     context_.policy.on_attempt_ended(now, id, attempt, result.outcome, duration, is_last, {});
     context_.actions.perform_all();
 }
 
-void AttemptHandler::log_ended(RequestId id, const ActiveRequest& request, const AttemptResult& result,
-                               Duration duration) {
+void AttemptHandler::log_attempt_ended(RequestId id, const ActiveRequest& request,
+                                       const AttemptResult& result, Duration duration) {
     context_.log.debug("attempt_ended", {{"request", id},
                                          {"server", request.server},
                                          {"attempt", *request.attempt},
@@ -104,10 +104,11 @@
                                          {"duration_ms", duration.ns / ns_per_ms}});
 }
 
-void AttemptHandler::end_client(RequestId id, const ActiveRequest& request, const AttemptResult& result) {
+void AttemptHandler::end_client_connection(RequestId id, const ActiveRequest& request,
+                                           const AttemptResult& result) {
     const bool was_established = request.is_established;
     const bool may_migrate = result.server_silent && !request.server_line_incomplete;
-    // To its client, a request that ended before it was established has failed.
+    // For the client, a request that ended before it was established has failed.
     if (!was_established) context_.completion.record_setup(request, admin::SetupOutcome::aborted);
     context_.active_requests.remove(id);
     if (!was_established)
--- a/src/router/gossip_interface.h
+++ b/src/router/gossip_interface.h
@@ -1,6 +1,6 @@
 /// @file
-/// The two interfaces between the exchange of messages with the other balancers and the request router. All
-/// calls are made on the thread of the event loop.
+/// The two interfaces between gossip, the exchange of messages with the other balancers, and the request
+/// router. All calls are made on the event loop's thread.
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,21 +9,23 @@
 
 namespace headrouter {
 
-/// Sends to the other balancers, without any guarantee: a message may be lost, doubled, late or out of order.
+/// Sends messages to the other balancers without delivery guarantees: a message may be lost, duplicated,
+/// delayed or reordered.
 class GossipInterface {
    public:
     virtual ~GossipInterface() = default;
 
-    /// Sends `bytes` to the balancer with `replica_index`, or to all others where it is `everyone_else`.
+    /// Sends `bytes` to the balancer with `replica_index`, or to all other balancers if it is
+    /// `everyone_else`.
     virtual void publish(int replica_index, std::string_view bytes) = 0;
 };
 
-/// What the other balancers send.
+/// Receives the messages of the other balancers.
 class GossipEvents {
    public:
     virtual ~GossipEvents() = default;
 
-    /// One message of the balancer with `replica_index`; it may be malformed.
+    /// Handles one message from the balancer with `replica_index`. The message may be malformed.
     virtual void on_gossip(int replica_index, const std::string& bytes) = 0;
 };
 
--- a/src/router/outcome_reporting.h
+++ b/src/router/outcome_reporting.h
@@ -1,4 +1,4 @@
-/// How the end of an attempt is counted and logged.
+/// Maps the outcome of an attempt to its counter and its name in the log.
 #pragma once
 #include <string_view>
 
@@ -7,10 +7,10 @@
 
 namespace headrouter {
 
-/// The counter of an attempt that ended before it was established, other than by completing its request.
+/// Returns the counter of an attempt that ended before it was established and did not complete its request.
 Counter counter_of(AttemptOutcome);
 
-/// The outcome as the log prints it.
+/// Returns the outcome's name in the log.
 std::string_view name_of(AttemptOutcome);
 
 }  // namespace headrouter
--- a/src/router/policy_action_queue.h
+++ b/src/router/policy_action_queue.h
@@ -1,4 +1,4 @@
-/// Decouples the policy's decisions from carrying them out.
+/// Queues the policy's decisions until they can be performed.
 #pragma once
 #include <deque>
 #include <functional>
@@ -10,25 +10,28 @@
 
 namespace headrouter {
 
-/// What the policy decided about one request.
+/// Decision of the policy to start an attempt for a request.
 struct StartAttemptAction {
     RequestId request_id;
     ServerId server;
-    Duration timeout;  ///< zero where only the request's deadline counts
+    Duration timeout;  ///< zero if only the request's deadline limits the attempt
 };
+/// Decision of the policy to answer a request with BUSY.
 struct RejectAction {
     RequestId request_id;
     Duration retry_after;
 };
+/// Decision of the policy to answer a request with ERR.
 struct FailAction {
     RequestId request_id;
 };
+/// Decision of the policy to migrate an established request: its client gets MOVE and reconnects.
 struct MigrateAction {
     RequestId request_id;
 };
 using PendingAction = std::variant<StartAttemptAction, RejectAction, FailAction, MigrateAction>;
 
-/// Carries out actions; what follows from one may be reported to the policy before it returns.
+/// Performs actions. An action may report its consequences to the policy before `perform` returns.
 class PendingActionHandler {
    public:
     virtual ~PendingActionHandler() = default;
@@ -38,9 +41,9 @@
     virtual void perform(const MigrateAction&) = 0;
 };
 
-/// Queues the policy's actions on requests while it handles an event, and has them performed afterwards: an
-/// action may cause the next event, and the policy is told one at a time. Timers and gossip have no such
-/// effect and pass directly.
+/// Queues the policy's actions on requests while the policy handles an event, and performs them afterwards:
+/// an action may cause another event, and the policy must not receive an event while it handles one. Timers
+/// and gossip cause no event at once and are passed on directly.
 class PolicyActionQueue : public PolicyActions {
    public:
     using SetTimer = std::function<void(TimePoint, uint64_t token)>;
@@ -48,10 +51,10 @@
     PolicyActionQueue(PendingActionHandler& handler, SetTimer set_timer)
         : handler_(handler), set_timer_(std::move(set_timer)) {}
 
-    /// Where gossip goes; without this it is dropped.
+    /// Sets the receiver of gossip. Gossip is dropped until this is called.
     void set_gossip(GossipInterface& gossip) { gossip_ = &gossip; }
 
-    /// Performs the queued actions, those that follow from them included. Does nothing inside of itself.
+    /// Performs the queued actions and those that are queued meanwhile. A nested call does nothing.
     void perform_all();
 
     void clear() { actions_.clear(); }
@@ -61,7 +64,7 @@
     void fail(RequestId) override;
     void migrate(RequestId) override;
     void set_timer(TimePoint, uint64_t token) override;
-    void watch_endpoints() override {}  // the endpoints are watched all the time
+    void watch_endpoints() override {}  // the endpoints are always watched
     void send_gossip(int replica_index, const std::string& bytes) override;
 
    private:
--- a/src/router/request_adopter.cpp
+++ b/src/router/request_adopter.cpp
@@ -8,14 +8,14 @@
 constexpr Duration retry_interval = millis(200);
 constexpr Duration max_connect_timeout = seconds(2);
 
-// Clients of an earlier process come back within this time after this one's start, and each is tried for so
-// long; a later client for late_time_limit.
+// Clients of an earlier process reconnect within this time after the start of this process, and the server of
+// each is retried for this long. For a client that connects later, the limit is late_client_time_limit.
 constexpr Duration adoption_period = seconds(39);
-constexpr Duration late_time_limit = seconds(2);
+constexpr Duration late_client_time_limit = seconds(2);
 }  // namespace
 
 Duration RequestAdopter::time_limit(TimePoint now) const {
-    return now - started_at_ < adoption_period ? adoption_period : late_time_limit;
+    return now - started_at_ < adoption_period ? adoption_period : late_client_time_limit;
 }
 
 void RequestAdopter::connect(RequestId id, ActiveRequest& request, TimePoint now) {
--- a/src/router/request_completion.h
+++ b/src/router/request_completion.h
@@ -1,4 +1,4 @@
-/// Ends requests that the balancer itself answers.
+/// Ends requests that the balancer answers itself.
 #pragma once
 #include <string_view>
 
@@ -11,7 +11,7 @@
 
 namespace headrouter {
 
-/// Sends a request's last line to its client, removes the request, and counts how it ended.
+/// Sends the final reply of a request to its client, removes the request, and counts how it ended.
 class RequestCompletion {
    public:
     RequestCompletion(ActiveRequests& active_requests, DownstreamInterface& downstream,
@@ -24,18 +24,19 @@
           counters_(counters),
           log_(log) {}
 
-    /// Answers a request that is not established with BUSY.
+    /// Answers a request that is not established with `busy_line`.
     void reject(RequestId, std::string_view busy_line);
 
     /// Answers a request that is not established with ERR.
     void fail(RequestId);
 
-    /// Tells the client of an established request to move, between two lines of its server: where a line has
-    /// begun, the request is marked, and `migrate` is to be called again after its end.
+    /// Sends MOVE to the client of an established request. MOVE must not interrupt a line from the server: if
+    /// such a line is incomplete, only marks the migration as pending, and the caller must call `migrate`
+    /// again when the line has ended.
     void migrate(RequestId, TimePoint now);
 
-    /// Adds to the metrics how a request came up or failed to. Adopted ones were counted by an earlier
-    /// process.
+    /// Adds the outcome of the request's setup to the metrics. Adopted requests are skipped, because an
+    /// earlier process counted them.
     void record_setup(const ActiveRequest&, admin::SetupOutcome);
 
    private:
--- a/src/router/request_intake.cpp
+++ b/src/router/request_intake.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-// The client waits from when it sent its line, and its answer has a way to go as well.
+// The client's wait starts when it sends its line, and the answer needs time to reach it. The deadline is
+// therefore earlier than the end of the wait by this margin, at most by the given fraction of the wait.
 constexpr Duration reply_margin = millis(10);
-constexpr double max_reply_margin_per_wait = 0.5;
+constexpr double max_reply_margin_fraction = 0.5;
 
 }  // namespace
 
 void RequestIntake::on_request_line(RequestId id, std::string_view line) {
     Result<RequestLine, RequestLineError> parsed = parse_request_line(line, context_.config);
-    if (!parsed) return refuse_malformed(id, line, parsed.error());
+    if (!parsed) return reject_malformed(id, line, parsed.error());
     if (context_.active_requests.has_wire_id(parsed->wire_id)) {
-        // Servers know the id too: each of them would turn the line away and be penalized for it.
+        // Servers see the same id: each of them would reject the line, and the policy would penalize it.
         context_.counters.add(Counter::ids_open_already);
-        return refuse_malformed(id, line, RequestLineError::id_in_use);
+        return reject_malformed(id, line, RequestLineError::id_in_use);
     }
     const TimePoint now = context_.environment.now();
     const bool is_new = parsed->established_server.empty();
@@ -36,7 +37,7 @@
         adopt(id, std::move(*parsed), now);
 }
 
-void RequestIntake::refuse_malformed(RequestId id, std::string_view line, RequestLineError error) {
+void RequestIntake::reject_malformed(RequestId id, std::string_view line, RequestLineError error) {
     context_.counters.add(Counter::malformed_client_lines);
     context_.log.debug("request_malformed",
                        {{"request", id}, {"found", describe(error)}, {"line", trim_line_end(line)}});
@@ -56,7 +57,7 @@
     Request& request = active.request_line.request;
     const Duration wait = active.request_line.wait;
     request.id = id;
-    request.deadline = now + wait - std::min(reply_margin, wait * max_reply_margin_per_wait);
+    request.deadline = now + wait - std::min(reply_margin, wait * max_reply_margin_fraction);
     context_.counters.add(Counter::requests_accepted);
     recent_reconnects_.add(now, request.is_reconnect);
     context_.policy.on_request(now, request);
--- a/src/router/request_intake.h
+++ b/src/router/request_intake.h
@@ -1,4 +1,4 @@
-/// From a client's first line to a request that the policy knows.
+/// Turns the first line of a client into a request that is reported to the policy.
 #pragma once
 #include <string_view>
 
@@ -9,20 +9,20 @@
 
 namespace headrouter {
 
-/// Reads request lines and takes the requests, or answers their clients at once: `ERR` to what cannot be
-/// read, `BUSY` to what is not admitted.
+/// Parses request lines and accepts or adopts the requests. Answers a malformed line with `ERR` and a request
+/// that is not admitted with `BUSY`.
 class RequestIntake {
    public:
-    /// `recent_reconnects` counts the requests whose earlier connections had broken or been migrated.
+    /// `recent_reconnects` counts new requests whose previous connection was broken or migrated.
     RequestIntake(const RouterContext& context, const AdmissionControl& admission,
                   SlidingWindow<5>& recent_reconnects)
         : context_(context), admission_(admission), recent_reconnects_(recent_reconnects) {}
 
-    /// The first line of a connection, with its line end; it may be malformed.
+    /// Handles the first line of a connection, including its line end. The line may be malformed.
     void on_request_line(RequestId, std::string_view line);
 
    private:
-    void refuse_malformed(RequestId, std::string_view line, RequestLineError);
+    void reject_malformed(RequestId, std::string_view line, RequestLineError);
     void reject(RequestId, const RequestLine&, const AdmissionRejection&);
     void accept(RequestId, RequestLine, TimePoint now);
     void adopt(RequestId, RequestLine, TimePoint now);
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -79,7 +79,7 @@
                                 {"by", reason == CloseReason::fin ? "fin" : "reset"},
                                 {"established", !awaits_reply}});
     upstream_.close(id, reason);
-    // The client may have closed its sending side only.
+    // The client may have closed only its sending side and still be able to read a reply.
     if (awaits_reply && reason == CloseReason::fin) downstream_.reply(id, reply);
     if (policy_knows) policy_.on_client_gone(environment_.now(), id);
     actions_.perform_all();
@@ -90,7 +90,7 @@
     if (!request || request->is_established) return counters_.add(Counter::late_events);
     const bool policy_knows = request->is_known_to_policy();
     counters_.add(Counter::malformed_client_lines);
-    log_.debug("request_malformed", {{"request", id}, {"found", "bytes before the reply"}});
+    log_.debug("request_malformed", {{"request", id}, {"found", "client data before the reply"}});
     upstream_.close(id, CloseReason::fin);
     if (policy_knows) policy_.on_client_gone(environment_.now(), id);
     completion_.fail(id);
@@ -128,7 +128,7 @@
     actions_.perform_all();
 }
 
-// What cannot be read is another version's, or was damaged on the way.
+// A malformed message comes from another version or was damaged in transit.
 void RequestRouter::on_gossip(int replica_index, const std::string& bytes) {
     const bool readable = policy_.on_gossip(environment_.now(), replica_index, bytes);
     counters_.add(readable ? Counter::gossip_received : Counter::gossip_malformed);
@@ -167,7 +167,8 @@
               {{"requests", active_requests_.size()}, {"order", order == Order::first ? "first" : "last"}});
 }
 
-// The policy hears that the requests are gone, so that it is of use should they come back here one by one.
+// Reports the requests to the policy as gone, so that its state is correct if the requests come back to this
+// process one by one.
 void RequestRouter::detach_all() {
     const TimePoint now = environment_.now();
     const std::vector<RequestId> known_to_policy = active_requests_.sorted_ids_if(
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -1,4 +1,4 @@
-/// Where the connections of clients and those to servers meet.
+/// Routes requests between client connections and server connections.
 #pragma once
 #include <string>
 #include <string_view>
@@ -28,20 +28,20 @@
 
 namespace headrouter {
 
-/// Tells the balancing policy what happens and carries out what it decides. It decides nothing about
-/// placement and retries; it adds what sockets need: admission, an answer in any case before the client gives
-/// up, the end of one connection handed on to the other one, a last look at the endpoint list before a byte
-/// goes out. It runs on the thread of the event loop.
+/// Reports events to the balancing policy and performs its actions. Placement and retries are decided by the
+/// policy alone. The router adds what real connections need: admission control, an answer to every request
+/// before its client gives up, closing one connection when the other one ends, and a last check of the
+/// endpoint list before a request line is sent. Runs on the event loop's thread.
 class RequestRouter : public DownstreamEvents,
                       public UpstreamEvents,
                       public GossipEvents,
                       private PendingActionHandler {
    public:
-    /// `seed`: of the policy's random numbers.
+    /// `seed` is the seed of the policy's random number generator.
     RequestRouter(ClusterConfig, uint64_t seed, DownstreamInterface&, UpstreamInterface&, RouterEnvironment,
                   Counters&, Log&);
 
-    /// Where the policy's gossip goes; without this it is dropped.
+    /// Sets the receiver of the policy's gossip. Gossip is dropped until this is called.
     void set_gossip(GossipInterface& gossip) { actions_.set_gossip(gossip); }
 
     void on_request_line(RequestId id, std::string_view line) override { intake_.on_request_line(id, line); }
@@ -68,45 +68,46 @@
     void on_endpoints(EndpointUpdateKind, const EndpointUpdate&);
     void on_timer(uint64_t token);
 
-    /// To be called ten times a second: for what is overdue, and for the migrations of a shutdown.
+    /// Handles overdue requests and the migrations of a graceful shutdown. Must be called ten times a second.
     void on_tick();
 
-    /// Takes over settings that were read again.
+    /// Applies reloaded settings.
     void reconfigure(const ClusterConfig&);
 
-    /// Requests are taken for a moment more. After that new ones are rejected, and established ones are
-    /// migrated, the last of them when about `duration` has passed.
+    /// Starts a graceful shutdown. New requests are still admitted for at least `shutdown_accept_period`;
+    /// then they are rejected, and established requests are migrated. The last migration takes place when
+    /// half of `duration` or all of it has elapsed, depending on ShutdownSchedule::Order.
     void begin_graceful_shutdown(Duration duration);
 
-    /// No request is left.
+    /// Returns whether no request is left.
     bool is_drained() const { return active_requests_.empty(); }
 
-    /// Forgets all requests without a word to clients or servers: another process has them now.
+    /// Drops all requests without sending anything to clients or servers: another process handles them now.
     void detach_all();
 
-    /// Records what the policy is told from now on; null ends that.
+    /// Records the policy's input events from now on; null stops the recording.
     void record_to(capture::EventRecorder* recorder) { policy_.record_to(recorder); }
 
     const ClusterConfig& config() const { return config_; }
 
-    /// The wall clock less the steady one, as the policy counts with it: after a hot restart the previous
-    /// process's until `reconfigure` is called.
+    /// Returns the wall clock minus the steady clock, as the policy uses it. After a hot restart, this is the
+    /// previous process's offset until `reconfigure` is called.
     Duration wall_clock_offset() const { return policy_.config().wall_clock_offset; }
     admin::MetricsSnapshot metrics() const;
 
-    /// What the next process needs to go on with all requests.
+    /// State that the next process needs to continue all requests.
     struct State {
         ClusterConfig config;
         EndpointTable::State endpoints;
         ActiveRequests::State active_requests;
         TimePoint started_at;
         SlidingWindow<5>::State recent_reconnects;
-        std::string policy;  ///< the bytes of the policy's state
+        std::string policy;  ///< serialized state of the policy
     };
     State state() const;
 
-    /// Goes on with the requests of another process, before the first of its own. Throws ParseError where the
-    /// policy's state cannot be read.
+    /// Continues the requests of another process. Must be called before the first request line. Throws
+    /// ParseError if the policy's state cannot be parsed.
     void restore(State state);
 
    private:
@@ -129,7 +130,7 @@
     RequestAdopter adopter_;
     RequestCompletion completion_;
     ShutdownSchedule shutdown_;
-    // Requests whose connections had broken or been migrated.
+    // New requests of the last five seconds whose previous connection was broken or migrated.
     SlidingWindow<5> recent_reconnects_{seconds(1)};
     PolicyActionQueue actions_;
     AdmissionControl admission_;
@@ -137,7 +138,7 @@
     AttemptHandler attempts_;
     RequestWatchdog watchdog_;
     ShutdownDrain drain_;
-    capture::RecordingPolicy policy_;  // last, as it sets its first timer while it is constructed
+    capture::RecordingPolicy policy_;  // last member: its constructor already sets a timer
 };
 
 }  // namespace headrouter
--- a/src/router/request_watchdog.cpp
+++ b/src/router/request_watchdog.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A request without an answer so long after its deadline is answered without the policy.
-constexpr Duration overdue_after = millis(15);
+// A request that the policy has not answered this long after its deadline is failed without the policy.
+constexpr Duration overdue_grace_period = millis(15);
 
-// How long a migration waits for the end of the line that the server has begun.
+// Longest time that a migration waits for the end of an incomplete line from the server.
 constexpr Duration max_migration_wait = seconds(0.5);
 
 constexpr int64_t ns_per_ms = 1'000'000;
@@ -30,7 +30,7 @@
         if (request.is_established) {
             if (request.migration_pending && now - request.migration_requested_at > max_migration_wait)
                 due.stuck_migrations.push_back(id);
-        } else if (now > request.request_line.request.deadline + overdue_after) {
+        } else if (now > request.request_line.request.deadline + overdue_grace_period) {
             due.overdue.push_back(id);
         } else if (RequestAdopter::is_retry_due(request, now)) {
             due.adoption_retries.push_back(id);
--- a/src/router/request_watchdog.h
+++ b/src/router/request_watchdog.h
@@ -1,4 +1,4 @@
-/// What becomes of requests that nothing else moves on.
+/// Handles requests for which an expected event did not arrive in time.
 #pragma once
 #include <vector>
 
@@ -7,21 +7,21 @@
 
 namespace headrouter {
 
-/// Fails requests that have had no answer, ends migrations that wait for the end of a line for too long, and
-/// retries the servers of adopted requests.
+/// Fails requests that were not answered in time, ends migrations that have waited too long for the end of a
+/// line, and retries the servers of adopted requests.
 class RequestWatchdog {
    public:
     explicit RequestWatchdog(const RouterContext& context) : context_(context) {}
 
-    /// To be called ten times a second.
+    /// Must be called ten times a second.
     void check(TimePoint now);
 
    private:
-    /// Each in ascending order.
+    /// Ids of the requests to handle, each list in ascending order.
     struct DueRequests {
-        std::vector<RequestId> overdue;           ///< the policy has not answered them in time
-        std::vector<RequestId> stuck_migrations;  ///< their servers stopped in the middle of a line
-        std::vector<RequestId> adoption_retries;
+        std::vector<RequestId> overdue;           ///< not answered by the policy in time
+        std::vector<RequestId> stuck_migrations;  ///< the server stopped in the middle of a line
+        std::vector<RequestId> adoption_retries;  ///< adopted; the next connection attempt is due
     };
 
     DueRequests find_due(TimePoint now) const;
--- a/src/router/router_context.h
+++ b/src/router/router_context.h
@@ -1,4 +1,4 @@
-/// What the parts of the request router work on.
+/// Shared dependencies of the classes that make up the request router.
 #pragma once
 #include "admin/counters.h"
 #include "admin/log.h"
@@ -16,7 +16,8 @@
 
 namespace headrouter {
 
-/// References to what RequestRouter owns or was given. All outlive the parts.
+/// References to objects that RequestRouter owns or was constructed with. They outlive every holder of a
+/// copy.
 struct RouterContext {
     const ClusterConfig& config;
     const RouterEnvironment& environment;
--- a/src/router/router_environment.h
+++ b/src/router/router_environment.h
@@ -1,4 +1,4 @@
-/// What the request router needs of the process around it.
+/// Functions of the process that the request router calls.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -9,18 +9,20 @@
 
 namespace headrouter {
 
-/// Calls into the process, all on the thread of the event loop.
+/// Callbacks into the process, all called on the event loop's thread.
 struct RouterEnvironment {
+    /// Returns the current time of the steady clock.
     std::function<TimePoint()> now;
 
-    /// Has `RequestRouter::on_timer(token)` called at that time.
+    /// Schedules a call of `RequestRouter::on_timer(token)` at the given time.
     std::function<void(TimePoint, uint64_t token)> set_timer;
 
-    /// Makes room for one request more. Where there is none, the counter of what the process is short of.
+    /// Closes idle connections if necessary to make room for one more request. Returns nothing if there is
+    /// room, otherwise the counter of the resource that is short (descriptors or memory).
     std::function<std::optional<Counter>()> find_shortage;
 
-    /// Whether other balancers may know newer endpoints for so long already that these must not be used any
-    /// more.
+    /// Returns whether other balancers may have had a newer endpoint list for so long that this balancer must
+    /// not use its own any more.
     std::function<bool()> is_endpoint_list_outdated = [] { return false; };
 };
 
--- a/src/router/shutdown_drain.h
+++ b/src/router/shutdown_drain.h
@@ -1,4 +1,4 @@
-/// How the requests of a process that shuts down end.
+/// Ends the requests of a process that shuts down gracefully.
 #pragma once
 #include "base/time.h"
 #include "router/router_context.h"
@@ -6,14 +6,14 @@
 
 namespace headrouter {
 
-/// Migrates established requests at the pace of the schedule. At its end, requests that are not established
-/// are answered as they are.
+/// Migrates established requests at the pace of the schedule. At the end of the schedule, answers requests
+/// that are not established: with BUSY if the client may retry, otherwise with ERR.
 class ShutdownDrain {
    public:
     ShutdownDrain(const RouterContext& context, const ShutdownSchedule& schedule)
         : context_(context), schedule_(schedule) {}
 
-    /// To be called ten times a second while the schedule drains.
+    /// Must be called ten times a second while the schedule is draining.
     void step(TimePoint now);
 
    private:
--- a/src/router/shutdown_schedule.h
+++ b/src/router/shutdown_schedule.h
@@ -1,5 +1,5 @@
-/// When a balancer that shuts down gracefully refuses new requests, and at which pace it migrates established
-/// ones.
+/// Schedules a graceful shutdown: when the balancer starts to reject new requests, and how fast it migrates
+/// established ones.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -8,37 +8,40 @@
 
 namespace headrouter {
 
-/// Clients go on connecting for a moment after a balancer was told to shut down, as they learn of it late.
-/// Requests are served for so long at least.
+/// Minimum time for which new requests are still admitted after a shutdown was requested. Clients learn of
+/// the shutdown late and keep connecting in the meantime.
 constexpr Duration shutdown_accept_period = millis(450);
 
 /// Paces the migrations of one balancer. Balancers that restart one after the other must not migrate at the
-/// same time, as the clients of the later one would find no balancer.
+/// same time, because the clients of the later balancer would find no balancer to connect to.
 class ShutdownSchedule {
    public:
-    /// Which half of `duration` the migrations take place in.
+    /// Whether this balancer migrates in the first half of the shutdown's `duration`, or in its last third
+    /// because another balancer restarts before it.
     enum class Order { first, last };
 
-    /// A balancer that many clients have just come to from others, `recent_reconnects` of its `active`
-    /// requests, is not the first that restarts.
+    /// Returns `last` if `recent_reconnects` is a large share of the `active` requests: these clients have
+    /// just left another balancer, so this balancer is not the first one to restart.
     static Order order_for(double recent_reconnects, size_t active);
 
-    /// Begins the shutdown, which is over when about `duration` has passed.
+    /// Starts the shutdown. With Order::last, it ends when `duration` has elapsed, with Order::first when
+    /// half of it has, but not before `shutdown_accept_period`.
     void start(TimePoint now, Duration duration, Order);
 
-    /// Whether new requests are rejected and established ones migrated.
+    /// Returns whether new requests are rejected and established requests migrated.
     bool is_draining(TimePoint now) const { return draining_from_ && now >= *draining_from_; }
 
-    /// What is left then is to be ended at once. Only after `start`.
-    bool is_over(TimePoint now) const { return now >= over_at_; }
+    /// Returns whether the remaining requests must be ended at once. Must be called only after `start`.
+    bool is_over(TimePoint now) const { return now >= ends_at_; }
 
-    /// How many of the `established` requests to migrate now, where this is asked ten times a second: spread
-    /// evenly over the time that is left, against a storm of reconnects. Only after `start`.
+    /// Returns how many of the `established` requests to migrate now, assuming ten calls a second. Spreads
+    /// the migrations evenly over the remaining time to avoid a reconnect storm. Must be called only after
+    /// `start`.
     size_t migrations_due(TimePoint now, size_t established) const;
 
    private:
-    std::optional<TimePoint> draining_from_;  // nothing before the start
-    TimePoint over_at_;
+    std::optional<TimePoint> draining_from_;  // empty before `start`
+    TimePoint ends_at_;
 };
 
 }  // namespace headrouter
--- a/tests/router/router_fixture.h
+++ b/tests/router/router_fixture.h
@@ -1,4 +1,4 @@
-/// A request router between fake clients and fake servers, with time driven by the test.
+/// A request router between fake clients and fake servers. The test controls the time.
 #pragma once
 #include <sstream>
 #include <string>
@@ -20,7 +20,7 @@
 
 using Lines = std::vector<std::string>;
 
-/// Records what the router does with clients, in order: "reply 1 BUSY\r\n", "close 1", ...
+/// Records the router's actions on clients, in order: "reply 1 BUSY\r\n", "close 1", ...
 struct FakeDownstream : DownstreamInterface {
     Lines actions;
     size_t unsent = 0;
@@ -42,7 +42,7 @@
     void poll_now(RequestId id) override { on_poll(id); }
 };
 
-/// Records what the router sends to servers, and "close", "reset", "pause", "resume".
+/// Records the bytes that the router sends to servers, and the actions "close", "reset", "pause", "resume".
 struct FakeUpstream : UpstreamInterface {
     Lines actions;
     std::function<void(RequestId)> on_start_attempt;
@@ -97,21 +97,23 @@
         router.on_endpoints(is_snapshot ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta,
                             parse_endpoint_update(body, router.config(), clock));
     }
-    /// "fffffffffffffff1" for request 1.
+    /// Returns the id of a request on the wire, for example "fffffffffffffff1" for request 1.
     static std::string wire_id(RequestId id) {
         const std::string digits = std::to_string(id);
         return std::string(16 - digits.size(), 'f') + digits;
     }
+    /// Lets a client send its request line.
     void open(RequestId id, const std::string& fields = chat_request) {
         router.on_request_line(id, "OPEN " + wire_id(id) + " 7f3a " + fields + "\r\n");
     }
+    /// Opens a request, lets the first server accept it, and clears the recorded actions.
     void establish(RequestId id, const std::string& fields = chat_request) {
         open(id, fields);
         router.on_attempt_established(id, "UP r\r\n");
         downstream.actions.clear();
         upstream.actions.clear();
     }
-    /// Ends the running attempt of a request as its server would.
+    /// Ends the running attempt of a request with an event from its server.
     void end_attempt(RequestId id, AttemptOutcome outcome, CloseReason reason,
                      const std::string& last_line = {}) {
         router.on_attempt_ended(id, {outcome, reason, false, last_line});
--- a/tests/router/test_admission_control.cpp
+++ b/tests/router/test_admission_control.cpp
@@ -1,4 +1,4 @@
-// Which requests a process takes, and what the clients of the others are told.
+// Tests which requests a process admits, and the reason and retry delay of the rejected ones.
 #include <gtest/gtest.h>
 
 #include "router/admission_control.h"
@@ -30,12 +30,12 @@
     AdmissionControl admission_{environment_, shutdown_, config_};
 };
 
-TEST_F(AdmissionControlTest, AdmitsWhereNothingIsShort) {
+TEST_F(AdmissionControlTest, AdmitsRequestsIfNoResourceIsShort) {
     EXPECT_FALSE(admission_.check(new_request, now));
     EXPECT_FALSE(admission_.check(established_before, now));
 }
 
-TEST_F(AdmissionControlTest, RejectsNewRequestsOnAShortageWithRetryAfter) {
+TEST_F(AdmissionControlTest, RejectsNewRequestWithRetryAfterIfMemoryIsShort) {
     shortage_ = Counter::refused_for_memory;
     const std::optional<AdmissionRejection> rejection = admission_.check(new_request, now);
     ASSERT_TRUE(rejection);
@@ -44,7 +44,7 @@
     EXPECT_EQ(rejection->retry_after, seconds(0.4));
 }
 
-TEST_F(AdmissionControlTest, RejectsNewRequestsOnAnOutdatedListWithoutClosingConnectionsForThem) {
+TEST_F(AdmissionControlTest, RejectsNewRequestWithoutFreeingResourcesIfEndpointListIsOutdated) {
     is_list_outdated_ = true;
     shortage_ = Counter::refused_for_memory;
     const std::optional<AdmissionRejection> rejection = admission_.check(new_request, now);
@@ -54,14 +54,14 @@
     EXPECT_EQ(shortage_checks_, 0);
 }
 
-TEST_F(AdmissionControlTest, AdmitsEstablishedRequestsWhateverIsShort) {
+TEST_F(AdmissionControlTest, AdmitsEstablishedRequestDespiteShortageAndOutdatedList) {
     is_list_outdated_ = true;
     shortage_ = Counter::refused_for_descriptors;
     EXPECT_FALSE(admission_.check(established_before, now));
     EXPECT_EQ(shortage_checks_, 0);
 }
 
-TEST_F(AdmissionControlTest, RejectsEveryRequestWhileDrainingWithoutRetryAfter) {
+TEST_F(AdmissionControlTest, RejectsEveryRequestWithoutRetryAfterWhileDraining) {
     shutdown_.start(now, seconds(4), ShutdownSchedule::Order::first);
     EXPECT_FALSE(admission_.check(new_request, now));
     const TimePoint draining = now + shutdown_accept_period;
--- a/tests/router/test_established_requests.cpp
+++ b/tests/router/test_established_requests.cpp
@@ -1,7 +1,7 @@
-/// Established requests: forwarding, migration, the end of a connection, graceful shutdown.
+/// Tests established requests: forwarding, migration, closing of connections, graceful shutdown.
 #include "router/router_fixture.h"
 
-TEST(EstablishedRequests, MigratesBetweenTwoLines) {
+TEST(EstablishedRequests, DelaysMigrationUntilServerLineIsComplete) {
     RouterFixture fixture;
     fixture.establish(1);
     fixture.router.on_server_bytes(1, std::string(4096, 'x'), false);
@@ -15,7 +15,7 @@
     EXPECT_EQ(fixture.counters[Counter::requests_migrated], 1);
 }
 
-TEST(EstablishedRequests, AServerThatStopsInMidLineDoesNotKeepItsClient) {
+TEST(EstablishedRequests, ClosesClientIfServerLineStaysIncompleteDuringShutdown) {
     RouterFixture fixture;
     fixture.establish(1);
     fixture.router.on_server_bytes(1, "half", false);
@@ -26,14 +26,14 @@
     EXPECT_TRUE(fixture.router.is_drained());
 }
 
-TEST(EstablishedRequests, MigratesTheClientOfASilentServer) {
+TEST(EstablishedRequests, MigratesClientIfServerIsSilent) {
     RouterFixture fixture;
     fixture.establish(1);
     fixture.router.on_attempt_ended(1, {AttemptOutcome::reset, CloseReason::fin, true, {}});
     EXPECT_EQ(fixture.downstream.actions, Lines{"reply 1 MOVE\r\n"});
 }
 
-TEST(EstablishedRequests, MirrorsFinAndReset) {
+TEST(EstablishedRequests, ForwardsFinAndResetToTheOtherConnection) {
     RouterFixture fixture;
     fixture.establish(1);
     fixture.establish(2);
@@ -47,7 +47,7 @@
     EXPECT_TRUE(fixture.router.is_drained());
 }
 
-TEST(EstablishedRequests, PausesReadingFromTheServerOfAClientThatDoesNotRead) {
+TEST(EstablishedRequests, PausesServerReadsWhileClientDoesNotRead) {
     RouterFixture fixture;
     fixture.establish(1);
     fixture.downstream.unsent = unsent_high_watermark + 1;
@@ -58,7 +58,7 @@
     EXPECT_EQ(fixture.upstream.actions.back(), "resume");
 }
 
-TEST(EstablishedRequests, AShutdownServesOnBeforeItMigratesGradually) {
+TEST(EstablishedRequests, ServesNewRequestsDuringAcceptPeriodOfShutdownThenMigratesGradually) {
     for (const bool are_reconnects : {false, true}) {
         RouterFixture fixture;
         for (RequestId id = 1; id <= 20; ++id)
@@ -67,7 +67,8 @@
         fixture.establish(21);
         fixture.router.on_tick();
         EXPECT_TRUE(fixture.downstream.actions.empty());
-        // Reconnected clients come from a balancer that shut down before: it must be back first.
+        // Reconnected clients come from a balancer that shut down before this one: that balancer must be
+        // serving again before this one migrates them.
         fixture.advance_and_tick(seconds(are_reconnects ? 1.9 : 0.5));
         EXPECT_EQ(fixture.downstream.actions.empty(), are_reconnects);
         fixture.advance(millis(100));
--- a/tests/router/test_outcome_reporting.cpp
+++ b/tests/router/test_outcome_reporting.cpp
@@ -1,4 +1,4 @@
-// How the end of an attempt is counted and logged.
+// Tests the counter and the log name of each outcome of an attempt.
 #include <gtest/gtest.h>
 
 #include <iterator>
@@ -15,14 +15,14 @@
                                             AttemptOutcome::connect_failed, AttemptOutcome::reset,
                                             AttemptOutcome::cancelled,      AttemptOutcome::not_sent};
 
-TEST(OutcomeReporting, EachHasANameOfItsOwnInTheLog) {
+TEST(OutcomeReporting, EveryOutcomeHasAUniqueLogName) {
     std::set<std::string_view> names;
     for (const AttemptOutcome outcome : every_outcome) names.insert(name_of(outcome));
     EXPECT_EQ(names.size(), std::size(every_outcome));
     EXPECT_FALSE(names.contains("unknown"));
 }
 
-TEST(OutcomeReporting, FailuresBeforeAnAttemptIsEstablishedAreCountedByTheirCause) {
+TEST(OutcomeReporting, FailureBeforeEstablishmentIsCountedByOutcome) {
     EXPECT_EQ(counter_of(AttemptOutcome::error), Counter::attempts_error);
     EXPECT_EQ(counter_of(AttemptOutcome::at_capacity), Counter::attempts_at_capacity);
     EXPECT_EQ(counter_of(AttemptOutcome::timed_out), Counter::attempts_timed_out);
--- a/tests/router/test_request_router.cpp
+++ b/tests/router/test_request_router.cpp
@@ -1,11 +1,12 @@
-/// Requests until they are established or answered.
+/// Tests requests until they are established or answered.
 #include "router/router_fixture.h"
 
-TEST(RequestRouter, ServesARequest) {
+TEST(RequestRouter, ForwardsBetweenClientAndServerUntilRequestCompletes) {
     RouterFixture fixture;
     fixture.open(1);
-    EXPECT_EQ(fixture.upstream.actions,
-              Lines{"OPEN fffffffffffffff1 7f3a c=chat,t=x,d=480,g=q\r\n"});  // the attempt's timeout
+    EXPECT_EQ(
+        fixture.upstream.actions,
+        Lines{"OPEN fffffffffffffff1 7f3a c=chat,t=x,d=480,g=q\r\n"});  // d= is the attempt's timeout in ms
     EXPECT_TRUE(fixture.router.may_send(1));
     fixture.router.on_attempt_established(1, "UP r\r\n");
     EXPECT_EQ(fixture.downstream.actions, (Lines{"forward 1 UP r\r\n", "start 1"}));
@@ -18,7 +19,7 @@
     EXPECT_EQ(fixture.counters[Counter::requests_completed], 1);
 }
 
-TEST(RequestRouter, RetriesFailedAttemptsElsewhereAndAnswersOnce) {
+TEST(RequestRouter, AnswersOnceWithBusyIfEveryAttemptIsRejected) {
     RouterFixture fixture;
     fixture.open(1);
     for (int k = 0; k < 3; ++k) fixture.reject_attempt(1, "BUSY\r\n");
@@ -26,7 +27,7 @@
     EXPECT_EQ(fixture.downstream.actions.size(), 1u);
     EXPECT_EQ(fixture.downstream.actions[0].substr(0, 13), "reply 1 BUSY ");
     EXPECT_TRUE(fixture.router.is_drained());
-    fixture.reject_attempt(1);  // of a request that has gone
+    fixture.reject_attempt(1);  // the request has already ended
     fixture.router.on_client_bytes(1, "x\r\n");
     fixture.router.on_client_closed(1, CloseReason::reset);
     fixture.router.on_attempt_established(1, "UP\r\n");
@@ -34,8 +35,8 @@
     EXPECT_EQ(fixture.counters[Counter::late_events], 4);
 }
 
-// A connect that is refused at once ends its attempt while the policy's actions are still being performed.
-TEST(RequestRouter, AnAttemptMayEndWhileItIsStarted) {
+// If a connect is refused at once, the attempt ends while the policy's actions are still being performed.
+TEST(RequestRouter, RetriesAndAnswersOnceIfAttemptsEndWhileBeingStarted) {
     RouterFixture fixture;
     fixture.upstream.on_start_attempt = [&](RequestId id) {
         fixture.end_attempt(id, AttemptOutcome::connect_failed, CloseReason::reset);
@@ -46,13 +47,14 @@
     EXPECT_TRUE(fixture.router.is_drained());
 }
 
-TEST(RequestRouter, DoesNotInviteAClientToRetryWhatMayHaveRun) {
+TEST(RequestRouter, AnswersErrIfNonIdempotentRequestMayHaveRun) {
     RouterFixture fixture;
     fixture.open(1, pay_request);
     fixture.reset_attempt(1);
     EXPECT_EQ(fixture.upstream.actions.size(), 1u);
     EXPECT_EQ(fixture.downstream.actions, Lines{"reply 1 ERR\r\n"});
-    // A shutdown with three requests pending: written and unanswered; not written yet; rejected and retried.
+    // Shuts down with three pending requests: 2 is written and unanswered, 3 is not written yet, 4 was
+    // rejected by one server and is being retried.
     for (const RequestId id : {2, 3, 4}) fixture.open(id, pay_request);
     fixture.router.on_attempt_written(2);
     fixture.router.on_attempt_written(4);
@@ -65,8 +67,9 @@
     EXPECT_EQ(fixture.downstream.actions, (Lines{"reply 2 ERR\r\n", "reply 3 BUSY\r\n", "reply 4 BUSY\r\n"}));
 }
 
-// The first attempt was written and reset, the second one rejected: the first may still have run.
-TEST(RequestRouter, DoesNotInviteARetryIfAnEarlierAttemptMayHaveRun) {
+// The first attempt was written and reset, the second one was rejected: the request may have run in the
+// first.
+TEST(RequestRouter, AnswersErrIfRequestMayHaveRunBeforeItsLastAttemptWasRejected) {
     RouterFixture fixture;
     fixture.open(1, chat_request);
     fixture.router.on_attempt_written(1);
@@ -81,23 +84,23 @@
     EXPECT_EQ(fixture.downstream.actions, Lines{"reply 1 ERR\r\n"});
 }
 
-TEST(RequestRouter, DoesNotSendToAServerThatDrainsWhileItConnects) {
+TEST(RequestRouter, DoesNotSendRequestIfServerStartsDrainingDuringConnect) {
     RouterFixture fixture;
     fixture.open(1);
     fixture.update_endpoint(false, "s1", "DRAINING");
     fixture.update_endpoint(false, "s2", "DRAINING");
     EXPECT_FALSE(fixture.router.may_send(1));
     fixture.end_attempt(1, AttemptOutcome::not_sent, CloseReason::fin);
-    EXPECT_EQ(fixture.upstream.actions.size(), 1u);  // queued: no server takes anything new
+    EXPECT_EQ(fixture.upstream.actions.size(), 1u);  // the request is queued: no server accepts new requests
     fixture.advance(seconds(2));
     for (const auto& timer : std::exchange(fixture.timers, {})) fixture.router.on_timer(timer.token);
     EXPECT_EQ(fixture.downstream.actions.size(), 1u);
     EXPECT_TRUE(fixture.router.is_drained());
 }
 
-TEST(RequestRouter, AnswersOverdueRequestsWithoutThePolicy) {
+TEST(RequestRouter, FailsOverdueRequestWithoutThePolicy) {
     RouterFixture fixture;
-    fixture.open(1);  // its attempt's end never comes
+    fixture.open(1);  // the end of its attempt is never reported
     fixture.advance_and_tick(seconds(1.9));
     EXPECT_TRUE(fixture.downstream.actions.empty());
     fixture.advance_and_tick(seconds(0.12));
@@ -105,9 +108,9 @@
     EXPECT_EQ(fixture.counters[Counter::answers_overdue], 1);
 }
 
-TEST(RequestRouter, RetriesTheServerOfAnAdoptedRequestUntilItIsEstablished) {
+TEST(RequestRouter, RetriesServerOfAdoptedRequestUntilEstablished) {
     RouterFixture fixture;
-    fixture.open(1, "c=chat,t=x,d=4294967,g=q,at=s1");  // over an hour is well-formed
+    fixture.open(1, "c=chat,t=x,d=4294967,g=q,at=s1");  // a wait of more than an hour is well-formed
     EXPECT_EQ(fixture.upstream.actions.size(), 1u);
     fixture.end_attempt(1, AttemptOutcome::connect_failed, CloseReason::reset);
     fixture.advance_and_tick(millis(250));
@@ -119,7 +122,7 @@
     EXPECT_EQ(fixture.counters[Counter::requests_adopted], 1);
 }
 
-TEST(RequestRouter, AnswersRequestsThatCannotBeAccepted) {
+TEST(RequestRouter, AnswersErrToMalformedLineAndBusyIfMemoryIsShort) {
     RouterFixture fixture;
     fixture.establish(7);
     const std::string good_start = "OPEN 0123456789abcdef 7f3a ";
@@ -147,7 +150,7 @@
     EXPECT_TRUE(fixture.upstream.actions.empty());
     fixture.router.on_client_closed(7, CloseReason::fin);
     fixture.upstream.actions.clear();
-    fixture.open(7);  // its id is free again
+    fixture.open(7);  // its id on the wire is free again
     EXPECT_EQ(fixture.upstream.actions.size(), 1u);
     fixture.router.on_early_client_data(7);
     EXPECT_EQ(fixture.downstream.actions.back(), "reply 7 ERR\r\n");
--- a/tests/router/test_router_metrics.cpp
+++ b/tests/router/test_router_metrics.cpp
@@ -1,8 +1,9 @@
-/// What the router counts for METRICS.
+/// Tests the router's values for the METRICS command.
 #include "router/router_fixture.h"
 
-// Every way in which a request ends: each accepted one is counted once, whatever its attempts did.
-TEST(RouterMetrics, CountEveryRequestOnce) {
+// Covers the ways in which a request can end. Each accepted request must be counted once, whatever the
+// outcomes of its attempts; a request left by its client is counted under no outcome.
+TEST(RouterMetrics, CountsEachRequestOnceHoweverItEnds) {
     RouterFixture fixture;
     const auto count = [&](admin::SetupOutcome outcome, int request_class) {
         return fixture.router.metrics().setups.by_class(outcome)[request_class];
@@ -16,16 +17,16 @@
         fixture.router.on_attempt_written(3);
         fixture.reject_attempt(3, "BUSY\r\n");
     }
-    fixture.open(4, pay_request);  // may have run
+    fixture.open(4, pay_request);  // non-idempotent and may have run
     fixture.reset_attempt(4);
     fixture.open(5);
-    fixture.router.on_client_closed(5, CloseReason::reset);  // left by the client: counted under none
+    fixture.router.on_client_closed(5, CloseReason::reset);  // left by the client: counted under no outcome
     fixture.open(6);
     fixture.router.on_early_client_data(6);
     fixture.open(7);
     fixture.end_attempt(7, AttemptOutcome::completed, CloseReason::fin, "BYE\r\n");
     fixture.open(8);
-    fixture.advance_and_tick(seconds(3));  // its attempt's end never comes
+    fixture.advance_and_tick(seconds(3));  // the end of its attempt is never reported
     fixture.open(9, "c=chat,t=x,d=5,g=q,at=s1");
     fixture.router.on_attempt_established(9, "UP r\r\n");  // established before this process started
     fixture.open(10, "c=none,t=x,d=5,g=q");
@@ -51,7 +52,7 @@
     EXPECT_EQ(count(admin::SetupOutcome::aborted, 0), 3);
 }
 
-TEST(RouterMetrics, CountDiscoveredAndEjectedEndpoints) {
+TEST(RouterMetrics, CountsDrainingEndpointAsEjectedAndDeletedEndpointAsGone) {
     RouterFixture fixture;
     EXPECT_EQ(fixture.router.metrics().discovered, 2);
     EXPECT_EQ(fixture.router.metrics().ejected, 0);
--- a/tests/router/test_shutdown_schedule.cpp
+++ b/tests/router/test_shutdown_schedule.cpp
@@ -1,3 +1,4 @@
+// Tests when a graceful shutdown drains and ends, and how it paces migrations.
 #include <gtest/gtest.h>
 
 #include "router/shutdown_schedule.h"
@@ -7,12 +8,12 @@
 
 static const TimePoint start = TimePoint{} + seconds(100);
 
-TEST(ShutdownSchedule, IsNotDrainingBeforeItsStart) {
+TEST(ShutdownSchedule, IsNotDrainingBeforeStart) {
     const ShutdownSchedule schedule;
     EXPECT_FALSE(schedule.is_draining(start));
 }
 
-TEST(ShutdownSchedule, ABalancerThatManyClientsCameToLatelyIsNotTheFirst) {
+TEST(ShutdownSchedule, OrderIsLastIfManyRequestsReconnectedRecently) {
     EXPECT_EQ(ShutdownSchedule::order_for(0, 0), Order::first);
     EXPECT_EQ(ShutdownSchedule::order_for(1.9, 0), Order::first);
     EXPECT_EQ(ShutdownSchedule::order_for(2, 0), Order::last);
@@ -20,7 +21,7 @@
     EXPECT_EQ(ShutdownSchedule::order_for(40, 100), Order::last);
 }
 
-TEST(ShutdownSchedule, TheFirstDrainsInTheFirstHalfAndAnotherInTheLastThird) {
+TEST(ShutdownSchedule, DrainsInFirstHalfOrInLastThirdDependingOnOrder) {
     ShutdownSchedule first;
     first.start(start, seconds(3), Order::first);
     EXPECT_FALSE(first.is_draining(start + shutdown_accept_period - millis(1)));
@@ -36,12 +37,12 @@
     EXPECT_TRUE(last.is_over(start + seconds(3)));
 }
 
-TEST(ShutdownSchedule, MigrationsAreSpreadOverTheTimeThatIsLeft) {
+TEST(ShutdownSchedule, SpreadsMigrationsEvenlyOverRemainingTime) {
     ShutdownSchedule schedule;
     schedule.start(start, seconds(3), Order::first);
-    const TimePoint second_left = start + seconds(0.5);
-    EXPECT_EQ(schedule.migrations_due(second_left, 0), 0u);
-    EXPECT_EQ(schedule.migrations_due(second_left, 1), 1u);
-    EXPECT_EQ(schedule.migrations_due(second_left, 105), 11u);
+    const TimePoint one_second_before_end = start + seconds(0.5);
+    EXPECT_EQ(schedule.migrations_due(one_second_before_end, 0), 0u);
+    EXPECT_EQ(schedule.migrations_due(one_second_before_end, 1), 1u);
+    EXPECT_EQ(schedule.migrations_due(one_second_before_end, 105), 11u);
     EXPECT_EQ(schedule.migrations_due(start + seconds(1.5), 105), 105u);
 }
