--- a/tests/router/test_request_router.cpp
+++ b/tests/router/test_request_router.cpp
@@ -4,9 +4,8 @@
 TEST(RequestRouter, ForwardsBetweenClientAndServerUntilRequestCompletes) {
     RouterFixture fixture;
     fixture.open(1);
-    EXPECT_EQ(
-        fixture.upstream.actions,
-        Lines{"OPEN fffffffffffffff1 7f3a c=chat,t=x,d=480,g=q\r\n"});  // d= is the attempt's timeout in ms
+    EXPECT_EQ(fixture.upstream.actions,
+              Lines{"OPEN fffffffffffffff1 7f3a c=chat,t=x,d=480,g=q\r\n"});  // d: attempt timeout in ms
     EXPECT_TRUE(fixture.router.may_send(1));
     fixture.router.on_attempt_established(1, "UP r\r\n");
     EXPECT_EQ(fixture.downstream.actions, (Lines{"forward 1 UP r\r\n", "start 1"}));
