--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -43,7 +43,7 @@
     static std::atomic<int> open_count_;  // atomic because the lab uses several threads
 };
 
-/// Former name, still used by the lab.
+/// Former name, still used by some modules.
 using Fd = FileDescriptor;
 
 /// An IPv4 or IPv6 address with a port.
