--- a/src/downstream/downstream.cpp
+++ b/src/downstream/downstream.cpp
@@ -152,7 +152,7 @@
 
 // ---- clients without a request ----
 
-void Downstream::close_idle(TimePoint now) {
+void Downstream::close_expired(TimePoint now) {
     for (const RequestId id : idle_clients_.expired(now)) {
         // What has come in the meantime is read first: it may be the rest of the line.
         poll_now(id);
@@ -165,7 +165,7 @@
     }
 }
 
-void Downstream::dismiss_unidentified(bool all) {
+void Downstream::dismiss_idle(bool all) {
     for (const RequestId id : all ? idle_clients_.ids() : idle_clients_.silent())
         dismiss(id, DismissalReason::shutting_down, busy_reply);
 }
--- a/src/downstream/downstream.h
+++ b/src/downstream/downstream.h
@@ -55,10 +55,10 @@
     void free_descriptors(int count);
 
     /// Closes clients that have taken too long for their request line.
-    void close_idle(TimePoint now);
+    void close_expired(TimePoint now);
 
     /// At the end of this process: dismisses clients that have sent nothing, or all without a request.
-    void dismiss_unidentified(bool all);
+    void dismiss_idle(bool all);
 
     /// Answers all that wait in the listener's queue with BUSY; false where there was nobody.
     bool reject_backlog();
--- a/src/hot_restart/balancer_state.cpp
+++ b/src/hot_restart/balancer_state.cpp
@@ -106,8 +106,8 @@
     visit(attempt.timer_due);
     visit(attempt.unanswered_since);
     visit(attempt.reports);
-    visit(attempt.has_said_bye);
-    visit(attempt.has_said_move);
+    visit(attempt.received_bye);
+    visit(attempt.received_move);
     visit(attempt.is_reading_paused);
 }
 
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -211,7 +211,7 @@
 void Balancer::run_periodic_tasks() {
     const TimePoint now = Clock::now();
     upstream_.check_silence(now);
-    downstream_.close_idle(now);
+    downstream_.close_expired(now);
     router_.on_tick();
     admin_server_.time_out_idle(now);
     hot_restart_.report_descriptors(FileDescriptor::open_count());
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -44,7 +44,7 @@
 // answer. False while clients still come out of the listener's queue.
 bool GracefulShutdown::dismiss_clients(TimePoint now) {
     Downstream& downstream = components_.downstream;
-    downstream.dismiss_unidentified(now >= deadline_ - final_dismissal);
+    downstream.dismiss_idle(now >= deadline_ - final_dismissal);
     const bool is_over = now >= deadline_;
     if (!is_over && downstream.size() > 0) return true;
     const bool queue_had_clients = downstream.reject_backlog();
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -210,8 +210,8 @@
         return;
     }
     const bool is_bare_word = is_whole && line.rest.empty();
-    if (is_bare_word && word == ServerWord::bye) attempt->has_said_bye = true;
-    if (is_bare_word && word == ServerWord::move) attempt->has_said_move = true;
+    if (is_bare_word && word == ServerWord::bye) attempt->received_bye = true;
+    if (is_bare_word && word == ServerWord::move) attempt->received_move = true;
     events_->on_server_bytes(id, bytes, is_whole);
 }
 
@@ -231,9 +231,9 @@
     const Attempt* attempt = find(connection.id());
     if (!attempt) return;
     AttemptOutcome outcome = AttemptOutcome::reset;
-    if (attempt->has_said_bye)
+    if (attempt->received_bye)
         outcome = AttemptOutcome::completed;
-    else if (attempt->has_said_move)
+    else if (attempt->received_move)
         outcome = AttemptOutcome::cancelled;
     else if (attempt->is_unsent())
         outcome = AttemptOutcome::connect_failed;  // the request cannot have run
--- a/src/upstream/upstream.h
+++ b/src/upstream/upstream.h
@@ -57,8 +57,8 @@
         TimePoint timer_due;         ///< until it is established
         TimePoint unanswered_since;  ///< the oldest client line that brought nothing back; zero for none
         ReportHistory reports;
-        bool has_said_bye = false;
-        bool has_said_move = false;
+        bool received_bye = false;
+        bool received_move = false;
         bool is_reading_paused = false;
     };
 
