--- a/src/downstream/client.h
+++ b/src/downstream/client.h
@@ -1,4 +1,4 @@
-/// What is kept for the connection of a client.
+/// Defines the state that the balancer keeps for one client connection.
 #pragma once
 #include <list>
 #include <memory>
@@ -8,22 +8,24 @@
 
 namespace headrouter {
 
-/// A connection carries one request. The hot restart hands these values on: a new one goes to the end.
+/// The progress of a connection, which carries one request. A hot restart transfers the numeric values, so
+/// new ones are added at the end.
 enum class ClientStage {
-    awaiting_request,  ///< nothing or probes until now
-    awaiting_reply,    ///< the request line has come, and the client must be silent until its reply
-    established        ///< lines go both ways
+    awaiting_request,  ///< the client has sent nothing or only probes
+    awaiting_reply,    ///< the request line has arrived; the client must not send more before the reply
+    established        ///< lines are forwarded in both directions
 };
 
+/// A client connection and its progress towards a request.
 struct Client {
     std::unique_ptr<LineConnection> connection;
     ClientStage stage = ClientStage::awaiting_request;
     TimePoint connected_at;
-    TimePoint idle_since;       ///< when it connected or last sent a probe
-    TimePoint line_started_at;  ///< from when the time for its request line counts
-    bool has_probed = false;    ///< it sent PING
+    TimePoint idle_since;       ///< when the client connected or last sent a probe
+    TimePoint line_started_at;  ///< start of the time limit for the request line
+    bool has_probed = false;    ///< whether the client has sent PING
 
-    /// Where it is in `IdleClients`, while it awaits its request.
+    /// Position in `IdleClients`; valid in the stage `awaiting_request`.
     std::list<Client*>::iterator idle_position;
 };
 
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -11,13 +11,14 @@
 namespace headrouter {
 
 namespace {
-// Few, so that clients that are here already are heard in between.
+// Small, so that connected clients are served between two batches.
 constexpr int max_accepts_per_event = 16;
 
 FileDescriptor open_spare_descriptor() { return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
-// While clients wait and cannot be accepted, the loop would report the socket again at once.
-constexpr Duration pause_after_failure = millis(20);
+// Without a pause, the event loop would report the socket again at once for as long as waiting clients cannot
+// be accepted.
+constexpr Duration retry_delay = millis(20);
 }  // namespace
 
 ClientListener::ClientListener(struct ev_loop* loop, Counters& counters, Handler on_accepted,
@@ -50,7 +51,7 @@
 
 void ClientListener::retry_later() {
     watcher_.stop();
-    if (!is_paused_) retry_timer_.start_once(pause_after_failure);
+    if (!is_paused_) retry_timer_.start_once(retry_delay);
 }
 
 bool ClientListener::accept_backlog(const Handler& handler) {
@@ -98,8 +99,8 @@
     if (!made_progress) retry_later();
 }
 
-// No descriptor is left, although some are kept back: by the spare one, the client can at least be answered.
-// False where that did not help.
+// Called when no descriptor is left in spite of the reserve: closing the spare one frees a descriptor with
+// which the client can at least be answered. Returns false if accepting failed even so.
 bool ClientListener::accept_by_spare_descriptor() {
     spare_.close();
     FileDescriptor client = accept_one();
--- a/src/downstream/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -1,4 +1,4 @@
-/// The socket on which clients connect.
+/// Accepts connections on the socket to which clients connect.
 #pragma once
 #include <ev.h>
 
@@ -10,23 +10,25 @@
 
 namespace headrouter {
 
-/// Accepts connections and hands them on. Used on the thread of its loop.
+/// Accepts connections and passes them to a handler. Must be used on the thread of its event loop.
 class ClientListener {
    public:
     using Handler = std::function<void(FileDescriptor)>;
 
-    /// `on_accepted` gets each connection; `on_exhausted` gets one that could be accepted only by means of
-    /// the spare descriptor, after which there is no other one.
+    /// `on_accepted` receives each connection. `on_exhausted` receives a connection that could be accepted
+    /// only by giving up the spare descriptor, because the process has no other descriptor left.
     ClientListener(struct ev_loop*, Counters&, Handler on_accepted, Handler on_exhausted);
 
-    /// Accepts on a socket that listens already.
+    /// Starts to accept on `socket`, which must be listening already.
     void open(FileDescriptor socket);
 
-    /// While paused, connections wait in the kernel, or for another process that has the socket as well.
+    /// Stops or resumes accepting. While paused, connections wait in the kernel or are accepted by another
+    /// process that shares the socket.
     void pause(bool paused);
 
-    /// Accepts all that wait and gives them to `handler`; false where nobody did. True too where some may
-    /// wait still, since accepting failed: it is to be tried again.
+    /// Accepts all waiting connections and passes them to `handler`. Returns false if there were none.
+    /// Returns true also if accepting failed and connections may still be waiting: the caller has to try
+    /// again.
     bool accept_backlog(const Handler& handler);
 
     int descriptor() const { return socket_.get(); }
@@ -42,7 +44,7 @@
     Handler on_accepted_;
     Handler on_exhausted_;
     FileDescriptor socket_;
-    FileDescriptor spare_;  // given up for a moment where no other descriptor is left
+    FileDescriptor spare_;  // closed briefly to accept a connection when no other descriptor is left
     IoWatcher watcher_;
     TimerWatcher retry_timer_;
     bool is_paused_ = false;
--- a/src/downstream/client_log.cpp
+++ b/src/downstream/client_log.cpp
@@ -26,7 +26,7 @@
 
 bool is_overdue(const Client& client, TimePoint now) {
     return client.connection->has_partial_line() &&
-           now - client.line_started_at > unfinished_request_owed_within;
+           now - client.line_started_at > unfinished_request_answer_limit;
 }
 
 }  // namespace
@@ -73,8 +73,8 @@
 }
 
 bool ClientLog::may_log_dismissal(TimePoint now) {
-    if (now - second_began_ >= seconds(1)) {
-        second_began_ = now;
+    if (now - second_started_at_ >= seconds(1)) {
+        second_started_at_ = now;
         dismissals_logged_ = 0;
     }
     if (dismissals_logged_ >= max_dismissals_logged_per_second) return false;
--- a/src/downstream/client_log.h
+++ b/src/downstream/client_log.h
@@ -1,4 +1,4 @@
-/// What happens to clients before their request is read, as log lines and counters.
+/// Logs and counts what happens to client connections before their request is read.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -11,33 +11,35 @@
 
 namespace headrouter {
 
-/// Why the balancer ends a connection before it has read a request from it.
+/// Why the balancer closes a connection before it has read a request from it.
 enum class DismissalReason {
-    silent,           ///< nothing came in time, or nothing more after a probe
-    unfinished_line,  ///< a line was begun and not ended in time
-    evicted,          ///< its descriptor is needed
-    shutting_down     ///< this process ends
+    silent,           ///< no byte arrived in time, or none after a probe
+    unfinished_line,  ///< a line was begun but not completed in time
+    evicted,          ///< its descriptor is needed for another connection
+    shutting_down     ///< this process is shutting down
 };
 
-/// Dismissals are logged at `info`, a few a second, so that a crowd of them does not fill the log; the other
-/// events at `debug`. Each line names the connection (`request`, as the request has the same number).
+/// Logs dismissals at level `info`, at most a few per second so that many at once do not flood the log, and
+/// all other events at `debug`. Each log line names the connection by the key `request`, since the request
+/// gets the same number.
 class ClientLog {
    public:
-    /// Both must outlive this.
+    /// `log` and `counters` must outlive this object.
     ClientLog(Log& log, Counters& counters) : log_(log), counters_(counters) {}
 
     void on_connected(RequestId, int open_descriptors);
 
-    /// The first byte of a line has come, and not the whole line with it.
+    /// Logs that the first part of a line has arrived without the rest.
     void on_line_begun(const Client&, TimePoint now);
 
-    /// The line was no request: `problem` is said in the log.
+    /// Logs that the line was not a valid request, with `problem` as the reason.
     void on_malformed_line(const Client&, std::string_view problem);
 
-    /// The client ended its connection before its request was read.
+    /// Logs that the client closed its connection before its request was read.
     void on_left(const Client&, CloseReason, TimePoint now);
 
-    /// Counts as overdue what took longer than the client is owed.
+    /// Logs and counts the dismissal. It counts as overdue if an unfinished line waited longer than
+    /// `unfinished_request_answer_limit`.
     void on_dismissed(const Client&, DismissalReason, std::string_view reply, TimePoint now);
 
    private:
@@ -45,7 +47,7 @@
 
     Log& log_;
     Counters& counters_;
-    TimePoint second_began_;
+    TimePoint second_started_at_;
     int dismissals_logged_ = 0;
     uint64_t dismissals_unlogged_ = 0;
 };
--- a/src/downstream/descriptor_limit.h
+++ b/src/downstream/descriptor_limit.h
@@ -1,4 +1,4 @@
-/// How many descriptors this process may have open, and what the connections of clients may take of them.
+/// Limits the open descriptors of this process, and the share of them for clients without a request.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -7,17 +7,19 @@
 
 namespace headrouter {
 
+/// Compares the open descriptors of the process with a configured maximum.
 class DescriptorLimit {
    public:
     explicit DescriptorLimit(int max_open) : max_open_(max_open) {}
 
     void set(int max_open) { max_open_ = max_open; }
 
-    /// Whether `count` descriptors more may be opened.
+    /// Returns whether `count` more descriptors may be opened.
     bool allows(int count) const { return FileDescriptor::open_count() + count <= max_open_; }
 
-    /// How many clients may be without a request, and how many may linger after their last line: a usual
-    /// request needs two descriptors and must find them.
+    /// Returns the maximum number of clients without a request, which is also the maximum number of
+    /// connections that linger after their last line. The rest is reserved for requests, which usually need
+    /// two descriptors.
     size_t max_idle_clients() const { return static_cast<size_t>(std::max(1, max_open_ / idle_divisor)); }
 
    private:
--- a/src/downstream/downstream.cpp
+++ b/src/downstream/downstream.cpp
@@ -11,19 +11,20 @@
 namespace headrouter {
 
 namespace {
-// Below so many free descriptors, a connection is answered with BUSY right away. Before that, the router
-// rejects requests but still reads them.
+// With fewer free descriptors, a new connection is answered with BUSY at once. The router starts earlier to
+// reject requests, but still reads them.
 constexpr int min_free_descriptors = 24;
 
-// Below so many, lingering connections make way even for one that is only answered with BUSY.
+// With fewer free descriptors, the oldest lingering connection is closed even for a connection that is only
+// answered with BUSY.
 constexpr int min_free_to_reject = 6;
 
-// Some clients write their line bit by bit, over two seconds, and one that has begun is worth more than one
-// that has not.
+// Some clients write their line in small pieces over two seconds. A client that has begun its line gets more
+// time than one that has sent nothing, since it is closer to a request.
 constexpr IdleClients::Grace eviction_grace = {.for_first_byte = millis(100), .for_whole_line = seconds(2.5)};
 constexpr IdleClients::Grace no_grace = {};
 
-// The id of a connection that is only answered and closed; those of requests begin at 1.
+// The id of a connection that is only answered and closed; the ids of requests begin at 1.
 constexpr RequestId no_request = 0;
 }  // namespace
 
@@ -80,7 +81,8 @@
     }
     for (const RequestId id : state.idle_clients) {
         Client& client = clients_.at(id);
-        // The form has no place for these two; for a client that has not probed they are exact.
+        // The transferred state lacks these two times. For a client that has not probed, `idle_since` is the
+        // exact value of both.
         client.connected_at = client.idle_since;
         client.line_started_at = client.idle_since;
         idle_clients_.add(client);
@@ -135,7 +137,8 @@
     client.connection->start();
 }
 
-// Answers with BUSY, without a place in the tables, and lets the client read to the end like all others.
+// Answers with BUSY without an entry in `clients_`. The connection lingers like any other, so that the client
+// can read the answer.
 void Downstream::reject(FileDescriptor socket) {
     counters_.add(Counter::refused_for_descriptors);
     if (!descriptor_limit_.allows(min_free_to_reject)) lingering_closer_.evict_oldest();
@@ -154,7 +157,7 @@
 
 void Downstream::close_expired(TimePoint now) {
     for (const RequestId id : idle_clients_.expired(now)) {
-        // What has come in the meantime is read first: it may be the rest of the line.
+        // Bytes that are still unread in the kernel may be the rest of the line, so they are read first.
         poll_now(id);
         const Client* const client = find(id);
         const bool awaits_request = client && client->stage == ClientStage::awaiting_request;
@@ -170,7 +173,8 @@
         dismiss(id, DismissalReason::shutting_down, busy_reply);
 }
 
-// A request of a prober may be under way: it is refused instead.
+// A client that has probed may be sending its request right now. It gets BUSY instead of `line`, so that it
+// may send the request again.
 void Downstream::dismiss(RequestId id, DismissalReason reason, std::string_view line) {
     const Client& client = clients_.at(id);
     const std::string_view answer = client.has_probed ? busy_reply : line;
@@ -195,10 +199,11 @@
 void Downstream::on_first_line(Client& client, std::string_view bytes, bool complete) {
     if (complete && answer_probe(client, trim_line_end(bytes))) return;
     const RequestId id = client.connection->id();
-    // Too long, or followed by more although a client has to wait.
+    // The line is too long, or the client sent more bytes although it has to wait for the reply.
     if (!complete || client.connection->bytes_after_line() > 0) {
         counters_.add(Counter::malformed_client_lines);
-        client_log_.on_malformed_line(client, complete ? "bytes after the line" : "no line end");
+        client_log_.on_malformed_line(
+            client, complete ? "bytes after the request line" : "line too long, no line end found");
         return reply(id, error_reply);
     }
     client.stage = ClientStage::awaiting_reply;
@@ -206,7 +211,7 @@
     events_->on_request_line(id, bytes);
 }
 
-// False where the line is no probe.
+// Returns false if the line is not a probe.
 bool Downstream::answer_probe(Client& client, std::string_view text) {
     LineConnection& connection = *client.connection;
     if (text == "PING") {
@@ -219,8 +224,8 @@
     } else {
         return false;
     }
-    const bool does_not_read = connection.unsent_bytes() > unsent_high_watermark;
-    if (does_not_read) close(connection.id(), CloseReason::reset);
+    const bool is_not_reading = connection.unsent_bytes() > unsent_high_watermark;
+    if (is_not_reading) close(connection.id(), CloseReason::reset);
     return true;
 }
 
@@ -236,7 +241,8 @@
     const RequestId id = connection.id();
     if (clients_.at(id).stage == ClientStage::awaiting_request)
         client_log_.on_left(clients_.at(id), reason, Clock::now());
-    // A client that only ended its sending may still read: its reply goes out before the connection ends.
+    // A client that has shut down only its sending side can still read, so the router may reply before the
+    // connection is closed.
     if (clients_.at(id).stage == ClientStage::awaiting_reply && reason == CloseReason::fin)
         events_->on_client_closed(id, reason);
     const Client* const client = find(id);
@@ -252,7 +258,7 @@
     if (client && client->stage == ClientStage::established) events_->on_client_writable(connection.id());
 }
 
-// ---- for the request router ----
+// ---- calls by the request router ----
 
 Client* Downstream::find(RequestId id) {
     const auto it = clients_.find(id);
--- a/src/downstream/downstream.h
+++ b/src/downstream/downstream.h
@@ -1,4 +1,4 @@
-/// The connections of clients, from the accept to the last line.
+/// Manages client connections from accept to the last line.
 #pragma once
 #include <ev.h>
 
@@ -23,49 +23,53 @@
 namespace headrouter {
 
 /// Accepts clients, answers their probes, reads their request lines, and carries the lines of established
-/// requests. Clients are turned away where descriptors run out, and cut where they do not say what they want.
-/// Used on the thread of its loop.
+/// requests. Rejects clients when descriptors run out, and closes clients that do not send a request in time.
+/// Must be used on the thread of its event loop.
 class Downstream : public DownstreamInterface, private LineConnection::Owner {
    public:
-    /// `lingering_closer` gets the connections that end; it, the counters and the log must outlive this.
+    /// `lingering_closer` takes over the connections that are closed here. All references must outlive this
+    /// object.
     Downstream(struct ev_loop*, LingeringCloser& lingering_closer, int max_descriptors, Counters&, Log&);
 
-    /// Must be called before the loop runs; `events` must outlive this.
+    /// Must be called before the event loop runs; `events` must outlive this object.
     void set_event_handler(DownstreamEvents& events) { events_ = &events; }
 
-    /// Opens the listening socket, beside that of another process if there is one. Throws std::system_error.
+    /// Opens the listening socket; another process may listen on the same address. Throws std::system_error.
     void listen(const Address&);
 
-    /// Accepts on a socket that listens already.
+    /// Starts to accept on `socket`, which must be listening already.
     void adopt_listener(FileDescriptor socket) { listener_.open(std::move(socket)); }
 
     int listener_descriptor() const { return listener_.descriptor(); }
 
-    /// While paused, new connections wait, or are another process's that has the listener too.
+    /// Stops or resumes accepting. While paused, new connections wait in the kernel or are accepted by
+    /// another process that shares the listening socket.
     void pause_accepting(bool paused) { listener_.pause(paused); }
 
-    /// Closes this process's descriptors of all connections without a word: another process has them now.
+    /// Closes this process's descriptors of all connections without sending anything to the clients: another
+    /// process has taken the connections over.
     void detach_all();
 
-    /// How many descriptors the whole process may have open.
+    /// Sets the maximum number of open descriptors of the whole process.
     void set_descriptor_limit(int max_descriptors);
 
-    /// Sees to it that `count` descriptors more may be opened, at the cost of clients that have had their
-    /// last line or are idle. Where there are no more of them, fewer may.
+    /// Closes lingering connections and then idle clients until `count` more descriptors may be opened, or
+    /// until there is nothing left to close.
     void free_descriptors(int count);
 
-    /// Closes clients that have taken too long for their request line.
+    /// Dismisses clients whose time limit for the request line is over.
     void close_expired(TimePoint now);
 
-    /// At the end of this process: dismisses clients that have sent nothing, or all without a request.
+    /// Dismisses, at shutdown of this process, the clients that have sent nothing, or with `all` every client
+    /// without a request.
     void dismiss_idle(bool all);
 
-    /// Answers all that wait in the listener's queue with BUSY; false where there was nobody.
+    /// Answers all connections in the accept queue with BUSY. Returns false if the queue was empty.
     bool reject_backlog();
 
     size_t size() const { return clients_.size(); }
 
-    /// What the next process needs to go on with all clients, beside their descriptors.
+    /// The state, apart from descriptors, with which the next process of a hot restart continues all clients.
     struct State {
         struct TransferredClient {
             ClientStage stage = ClientStage::awaiting_request;
@@ -76,14 +80,15 @@
 
         RequestId last_id = 0;
         std::map<RequestId, TransferredClient> clients;
-        std::vector<RequestId> idle_clients;  ///< those that await their request, the oldest first
+        std::vector<RequestId> idle_clients;  ///< those in the stage `awaiting_request`, longest idle first
     };
     State state() const;
 
-    /// The descriptors of the clients, in the order of `State::clients`; still owned by these.
+    /// Returns the descriptors of the clients in the order of `State::clients`; the clients keep ownership.
     std::vector<int> descriptors() const;
 
-    /// Goes on with the clients of another process, before the first of its own. `descriptors` as above.
+    /// Takes over the clients of another process, before this one accepts its first client. `descriptors` are
+    /// in the order of `State::clients`.
     void restore(const State& state, std::span<FileDescriptor> descriptors);
 
     void forward(RequestId, std::string_view bytes) override;
--- a/src/downstream/idle_clients.cpp
+++ b/src/downstream/idle_clients.cpp
@@ -29,7 +29,7 @@
     for (const bool has_begun : {false, true}) {
         const Duration allowed = has_begun ? grace.for_whole_line : grace.for_first_byte;
         for (Client* const client : clients_) {
-            if (now - client->idle_since < allowed) break;  // the others are younger
+            if (now - client->idle_since < allowed) break;  // the others have been idle for a shorter time
             if (client->connection->has_partial_line() != has_begun) continue;
             if (!client->connection->has_unread_bytes()) return client;
         }
--- a/src/downstream/idle_clients.h
+++ b/src/downstream/idle_clients.h
@@ -1,4 +1,4 @@
-/// The clients that have not sent their request line yet, and how long they may take.
+/// Tracks the clients that have not sent their request line yet, and finds those to evict or dismiss.
 #pragma once
 #include <cstddef>
 #include <list>
@@ -10,45 +10,47 @@
 
 namespace headrouter {
 
-/// Refers to clients, which must be removed before they are destroyed.
+/// Orders the clients without a request by the time for which they have been idle. Holds pointers: a client
+/// must be removed before it is destroyed.
 class IdleClients {
    public:
-    /// What a client must have had at least before it may be evicted for another one.
+    /// The minimum idle time before a client may be evicted in favour of another one.
     struct Grace {
-        Duration for_first_byte;
-        Duration for_whole_line;  ///< once its first byte has come
+        Duration for_first_byte;  ///< while nothing of its line has arrived
+        Duration for_whole_line;  ///< once its first byte has arrived
     };
 
-    /// Adds the client that has been idle for the shortest time.
+    /// Adds a client, which must be the one that has been idle for the shortest time.
     void add(Client&);
 
     void remove(Client&);
 
-    /// The client was active: it counts as idle from `now` on.
+    /// Restarts the idle time of a client that was active at `now`.
     void refresh(Client&, TimePoint now);
 
-    /// The client to evict: the oldest that has sent nothing, or else the oldest that has begun its line;
-    /// null where each is within its grace. One with unread bytes in the kernel is never chosen.
+    /// Returns the client to evict: the longest idle one that has not begun a line, or else the longest idle
+    /// one that has. Returns null if each is within its grace time. Never returns a client with unread bytes
+    /// in the kernel.
     Client* find_evictable(TimePoint now, const Grace&) const;
 
-    /// Whether the client's time for its request line is over. What still waits in the kernel is not known
-    /// here.
+    /// Returns whether the client's time limit for its request line is over. Does not consider bytes that are
+    /// still unread in the kernel.
     static bool is_expired(const Client&, TimePoint now);
 
-    /// Those of which `is_expired` holds, the oldest first.
+    /// Returns the clients for which `is_expired` is true, longest idle first.
     std::vector<RequestId> expired(TimePoint now) const;
 
-    /// Those of which no byte has come, not even to the kernel, the oldest first.
+    /// Returns the clients with neither a partial line nor unread bytes in the kernel, longest idle first.
     std::vector<RequestId> silent() const;
 
-    /// All, the oldest first.
+    /// Returns all clients, longest idle first.
     std::vector<RequestId> ids() const;
 
     size_t size() const { return clients_.size(); }
     void clear() { clients_.clear(); }
 
    private:
-    std::list<Client*> clients_;  // the oldest first
+    std::list<Client*> clients_;  // longest idle first
 };
 
 }  // namespace headrouter
--- a/src/downstream/request_line.cpp
+++ b/src/downstream/request_line.cpp
@@ -11,12 +11,12 @@
 namespace {
 constexpr std::string_view line_end = "\r\n";
 constexpr std::string_view verb = "OPEN";
-constexpr size_t word_count = 4;       // verb, id, key, list of fields
+constexpr size_t word_count = 4;       // verb, id, key, field list
 constexpr size_t wire_id_length = 16;  // hexadecimal digits
-constexpr int unknown = -1;            // index of a class or tenant that is not (yet) known
+constexpr int unknown = -1;            // index of a class or tenant that is missing or not configured
 constexpr int64_t ns_per_ms = 1'000'000;
 
-// A client may wait for as long as it likes, but the policy's time is finite.
+// A client may ask for any wait, but a larger one could overflow the policy's time type.
 constexpr int64_t max_wait_ms = 1'000'000'000;
 
 template <class Number>
@@ -42,7 +42,7 @@
     return std::all_of(text.begin(), text.end(), [](unsigned char c) { return c >= 0x20 && c < 0x7f; });
 }
 
-// Servers turn away what only looks like an id, each of them in turn.
+// Checked here because every server rejects a malformed id: each retry on another server would fail as well.
 bool is_wire_id(std::string_view id) {
     return id.size() == wire_id_length && id.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
@@ -52,9 +52,9 @@
     return it == names.end() ? unknown : static_cast<int>(it - names.begin());
 }
 
-using FieldError = std::optional<RequestLineError>;  // nothing where the field is good
+using FieldError = std::optional<RequestLineError>;  // empty if the field is valid
 
-// Reads the fields of one line into a RequestLine.
+// Parses the fields of one line into a RequestLine.
 class FieldReader {
    public:
     FieldReader(std::string_view line, const ClusterConfig& config, RequestLine& result)
@@ -68,13 +68,13 @@
         if (equals == std::string_view::npos || equals == 0 || equals + 1 == field.size())
             return RequestLineError::malformed_field;
         const std::string_view name = field.substr(0, equals);
-        if (std::find(names_.begin(), names_.end(), name) != names_.end())
+        if (std::find(seen_names_.begin(), seen_names_.end(), name) != seen_names_.end())
             return RequestLineError::duplicate_field;
-        names_.push_back(name);
+        seen_names_.push_back(name);
         return read_value(name, field.substr(equals + 1));
     }
 
-    // What all fields together must say.
+    // Checks that the required fields are present, once all fields are read.
     FieldError finish() {
         Request& request = result_.request;
         if (request.type == unknown) return RequestLineError::missing_class;
@@ -86,7 +86,7 @@
     }
 
    private:
-    // Fields with other names are for the servers.
+    // Fields with other names are meant for the servers and ignored here.
     FieldError read_value(std::string_view name, std::string_view value) {
         if (name == "c") return read_class(value);
         if (name == "t") return read_tenant(value);
@@ -125,7 +125,7 @@
         return {};
     }
 
-    // Only a guess of the client's: one that cannot be read is none.
+    // The hint is only an estimate by the client, so a malformed one is ignored.
     void read_load_hint(std::string_view value) {
         const std::optional<int64_t> load = parse_non_negative<int64_t>(value);
         if (load) result_.request.hinted_load = Duration{*load};
@@ -136,28 +136,29 @@
     std::string_view line_;
     const ClusterConfig& config_;
     RequestLine& result_;
-    std::vector<std::string_view> names_;
+    std::vector<std::string_view> seen_names_;
 };
 }  // namespace
 
 std::string_view describe(RequestLineError error) {
     switch (error) {
-        case RequestLineError::no_crlf: return "no CRLF at its end";
-        case RequestLineError::unprintable_byte: return "a byte that is not printable ASCII";
-        case RequestLineError::wrong_shape: return "not OPEN, an id, a key and a list with one space between";
-        case RequestLineError::malformed_id: return "its id is not 16 hexadecimal digits";
-        case RequestLineError::empty_key: return "no key";
-        case RequestLineError::malformed_field: return "a field without name or value";
-        case RequestLineError::duplicate_field: return "a field twice";
-        case RequestLineError::unknown_class: return "a class that is not configured";
-        case RequestLineError::unknown_tenant: return "a tenant that is not configured";
-        case RequestLineError::malformed_flag: return "a flag that is neither 0 nor 1";
-        case RequestLineError::malformed_wait: return "its wait is not a number of milliseconds";
-        case RequestLineError::missing_class: return "no class";
-        case RequestLineError::missing_tenant: return "no tenant";
-        case RequestLineError::missing_group: return "no affinity group";
-        case RequestLineError::missing_wait: return "no wait";
-        case RequestLineError::id_in_use: return "its id is that of an active request";
+        case RequestLineError::no_crlf: return "line does not end with CRLF";
+        case RequestLineError::unprintable_byte: return "line contains a byte that is not printable ASCII";
+        case RequestLineError::wrong_format:
+            return "line is not of the form 'OPEN id key fields' with single spaces";
+        case RequestLineError::malformed_id: return "id is not 16 lower-case hexadecimal digits";
+        case RequestLineError::empty_key: return "key is empty";
+        case RequestLineError::malformed_field: return "field is not of the form name=value";
+        case RequestLineError::duplicate_field: return "field occurs twice";
+        case RequestLineError::unknown_class: return "request class (c) is not configured";
+        case RequestLineError::unknown_tenant: return "tenant (t) is not configured";
+        case RequestLineError::malformed_flag: return "flag (again, r) is neither 0 nor 1";
+        case RequestLineError::malformed_wait: return "wait (d) is not a whole number of milliseconds";
+        case RequestLineError::missing_class: return "request class (c) is missing";
+        case RequestLineError::missing_tenant: return "tenant (t) is missing";
+        case RequestLineError::missing_group: return "affinity group (g) is missing";
+        case RequestLineError::missing_wait: return "wait (d) is missing";
+        case RequestLineError::id_in_use: return "id belongs to an active request";
     }
     return "";
 }
@@ -166,9 +167,10 @@
     if (!line.ends_with(line_end)) return RequestLineError::no_crlf;
     const std::string_view text = line.substr(0, line.size() - line_end.size());
     if (!is_printable(text)) return RequestLineError::unprintable_byte;
-    // A server reads the same bytes, and may take two spaces for an empty word between.
+    // Words are separated by exactly one space: a server parses the same bytes and may take two spaces for an
+    // empty word between them.
     const std::vector<std::string_view> words = split(text, ' ');
-    if (words.size() != word_count || words[0] != verb) return RequestLineError::wrong_shape;
+    if (words.size() != word_count || words[0] != verb) return RequestLineError::wrong_format;
     if (!is_wire_id(words[1])) return RequestLineError::malformed_id;
     if (words[2].empty()) return RequestLineError::empty_key;
 
--- a/src/downstream/request_line.h
+++ b/src/downstream/request_line.h
@@ -1,7 +1,8 @@
-/// The line with which a client opens its connection: `OPEN id key name=value,...`. Of the list, `c` is the
-/// request class, `t` the tenant, `g` the affinity group, `d` how long the client waits for its answer (ms),
-/// `again` whether it comes again after its connection broke or was migrated, `h` a hint at its load (us a
-/// second), and `at` the server at which it was established before this balancer started.
+/// Parses the first line of a client connection, `OPEN id key name=value,...`. Fields of the list: `c` is the
+/// request class, `t` the tenant, `g` the affinity group, `d` how long the client waits for the answer (ms),
+/// `again` whether the client reconnects after its connection broke or was migrated, `h` the client's
+/// estimate of the request's load (us per second), and `at` the server on which the request was established
+/// before this balancer started.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -13,25 +14,26 @@
 
 namespace headrouter {
 
-/// A request line that could be read: its bytes as they came, and what they say.
+/// A valid request line: its original bytes and the parsed values.
 struct RequestLine {
     std::string line;
-    std::string wire_id;     ///< by which servers know the request
-    size_t wait_offset = 0;  ///< where `line` says how long its sender waits
-    size_t wait_length = 0;
-    Request request;  ///< without its id and deadline, which the router sets
-    Duration wait;    ///< how long the client waits, bounded by its class's deadline for a new request
-    ServerId established_server;  ///< the server that serves it already; empty for a new request
-
-    /// The same line, but saying that its sender waits for `wait`: at least 1 ms, rounded down to whole ones.
+    std::string wire_id;     ///< id of the request on the wire, also towards servers
+    size_t wait_offset = 0;  ///< position in `line` of the value of the field `d`
+    size_t wait_length = 0;  ///< bytes of that value
+    Request request;         ///< without id and deadline, which the router sets
+    Duration wait;  ///< how long the client waits; for a new request at most the deadline of its class
+    ServerId established_server;  ///< the server on which the request is established; empty for a new request
+
+    /// Returns the same line with `new_wait` as the value of `d`, rounded down to whole milliseconds and at
+    /// least 1 ms.
     std::string line_with_wait(Duration new_wait) const;
 };
 
-/// Why a request line cannot be read.
+/// Why a request line is rejected.
 enum class RequestLineError {
     no_crlf,
     unprintable_byte,
-    wrong_shape,
+    wrong_format,
     malformed_id,
     empty_key,
     malformed_field,
@@ -44,13 +46,13 @@
     missing_tenant,
     missing_group,
     missing_wait,
-    id_in_use,  ///< found by the router, not by the parser
+    id_in_use,  ///< detected by the router, not by the parser
 };
 
-/// What was expected, for the log.
+/// Returns what is wrong with the line, for the log.
 std::string_view describe(RequestLineError);
 
-/// Reads `line`, with its line end, by the names that the configuration gives to classes and tenants.
+/// Parses `line`, which includes its line end. Classes and tenants are looked up by their configured names.
 Result<RequestLine, RequestLineError> parse_request_line(std::string_view line, const ClusterConfig&);
 
 }  // namespace headrouter
--- a/tests/downstream/test_client_log.cpp
+++ b/tests/downstream/test_client_log.cpp
@@ -1,4 +1,4 @@
-// What the log and the counters tell of clients that are dismissed before their request was read.
+// Checks the log lines and counters for clients that are dismissed before their request is read.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -9,7 +9,7 @@
 namespace headrouter {
 namespace {
 
-class SilentOwner : public LineConnection::Owner {
+class IgnoringOwner : public LineConnection::Owner {
    public:
     void on_bytes(LineConnection&, std::string_view, bool) override {}
     void on_closed(LineConnection&, CloseReason) override {}
@@ -22,7 +22,7 @@
         ev_loop_destroy(loop_);
     }
 
-    // A client of which `bytes` have come.
+    // Connects a client from which `bytes` have arrived.
     void connect(std::string_view bytes, TimePoint now) {
         int ends[2];
         ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
@@ -33,7 +33,7 @@
         client_.connection->poll_now();
     }
 
-    size_t lines_about(const std::string& event) const {
+    size_t count_log_lines(const std::string& event) const {
         size_t count = 0;
         for (size_t at = text_.str().find(event); at != std::string::npos;
              at = text_.str().find(event, at + 1))
@@ -42,7 +42,7 @@
     }
 
     struct ev_loop* loop_ = ev_loop_new(0);
-    SilentOwner owner_;
+    IgnoringOwner owner_;
     FileDescriptor peer_;
     Client client_;
     std::ostringstream text_;
@@ -52,7 +52,7 @@
     const TimePoint start_ = TimePoint{} + seconds(100);
 };
 
-TEST_F(ClientLogTest, ADismissalNamesReasonAgeAndWhatHadCome) {
+TEST_F(ClientLogTest, DismissalIsLoggedWithReasonAgeAndReceivedBytes) {
     connect("OPEN 12", start_);
     client_log_.on_dismissed(client_, DismissalReason::unfinished_line, "ERR\r\n", start_ + millis(2600));
     const std::string expected =
@@ -63,23 +63,23 @@
     EXPECT_EQ(counters_[Counter::request_lines_overdue], 0U);
 }
 
-TEST_F(ClientLogTest, AnUnfinishedLineAnsweredAfterThreeSecondsIsOverdue) {
+TEST_F(ClientLogTest, UnfinishedLineAnsweredAfterThreeSecondsIsOverdue) {
     connect("OPEN 12", start_);
     client_log_.on_dismissed(client_, DismissalReason::evicted, "BUSY\r\n", start_ + millis(3001));
     EXPECT_EQ(counters_[Counter::request_lines_overdue], 1U);
 }
 
-TEST_F(ClientLogTest, AProberAtRestIsNeverOverdue) {
+TEST_F(ClientLogTest, ClientWithoutPartialLineIsNotOverdueAfterSixSeconds) {
     connect("", start_);
     client_log_.on_dismissed(client_, DismissalReason::silent, "BUSY\r\n", start_ + seconds(6));
     EXPECT_EQ(counters_[Counter::request_lines_overdue], 0U);
 }
 
-TEST_F(ClientLogTest, ACrowdOfDismissalsIsCountedAndNotLoggedOneByOne) {
+TEST_F(ClientLogTest, DismissalsBeyondFivePerSecondAreCountedInsteadOfLogged) {
     connect("", start_);
     for (int count = 0; count < 100; ++count)
         client_log_.on_dismissed(client_, DismissalReason::silent, "ERR\r\n", start_ + millis(count));
-    EXPECT_EQ(lines_about("client_dismissed"), 5U);
+    EXPECT_EQ(count_log_lines("client_dismissed"), 5U);
     client_log_.on_dismissed(client_, DismissalReason::silent, "ERR\r\n", start_ + seconds(1));
     EXPECT_NE(text_.str().find("unlogged_before=95"), std::string::npos) << text_.str();
 }
--- a/tests/downstream/test_request_line.cpp
+++ b/tests/downstream/test_request_line.cpp
@@ -23,7 +23,7 @@
 
 static const std::string start = "OPEN 0123456789abcdef 7f3a ";
 
-TEST(RequestLine, IsReadWithAllItsFields) {
+TEST(RequestLine, ValidLineIsParsedWithAllFields) {
     const std::string line = start + "c=pay,t=y,d=2000,g=q,again=1,h=250,other=z\r\n";
     const auto parsed = parse_request_line(line, config());
     ASSERT_TRUE(parsed.has_value());
@@ -40,18 +40,18 @@
     EXPECT_EQ(parsed->line_with_wait({}), start + "c=pay,t=y,d=1,g=q,again=1,h=250,other=z\r\n");
 }
 
-TEST(RequestLine, TheDeadlineOfItsClassBoundsTheWaitOfANewRequestOnly) {
+TEST(RequestLine, WaitBeyondClassDeadlineIsLimitedForNewRequestsOnly) {
     EXPECT_EQ(parse_request_line(start + "c=chat,t=x,d=9000,g=q\r\n", config())->wait, seconds(3));
     EXPECT_EQ(parse_request_line(start + "c=chat,t=x,d=9000,g=q,at=s\r\n", config())->wait, seconds(9));
 }
 
-TEST(RequestLine, EachErrorIsTold) {
+TEST(RequestLine, EachKindOfMalformedLineReturnsItsError) {
     using E = RequestLineError;
     const std::string good = "c=chat,t=x,d=5,g=q";
     EXPECT_EQ(error_of(""), E::no_crlf);
     EXPECT_EQ(error_of(start + good + "\n"), E::no_crlf);
     EXPECT_EQ(error_of("OPEN 0123456789abcdef \x01 " + good + "\r\n"), E::unprintable_byte);
-    EXPECT_EQ(error_of(start + good + " more\r\n"), E::wrong_shape);
+    EXPECT_EQ(error_of(start + good + " more\r\n"), E::wrong_format);
     EXPECT_EQ(error_of("OPEN 0123456789ABCDEF 7f3a " + good + "\r\n"), E::malformed_id);
     EXPECT_EQ(error_of("OPEN 0123456789abcdef  " + good + "\r\n"), E::empty_key);
     EXPECT_EQ(error_of(start + good + ",\r\n"), E::malformed_field);
--- a/tests/downstream/test_request_line_deadline.cpp
+++ b/tests/downstream/test_request_line_deadline.cpp
@@ -1,4 +1,5 @@
-// How long a client may take for its request line: from the connect on, whatever it sends in between.
+// Checks the deadline for the request line, which counts from the connect whatever the client sends in
+// between.
 #include <gtest/gtest.h>
 
 #include "downstream/request_line_deadline.h"
@@ -8,8 +9,9 @@
 
 constexpr TimePoint start = TimePoint{} + seconds(100);
 
-// Of a client that has probed and whose unfinished line's first byte came so long after its connect.
-Duration time_from_connect(Duration first_byte, bool has_probed) {
+// Returns the deadline, relative to the connect, of an unfinished line whose first byte arrived `first_byte`
+// after the connect.
+Duration deadline_after_connect(Duration first_byte, bool has_probed) {
     const TimePoint first_byte_at = start + first_byte;
     return request_line_deadline({.connected_at = start,
                                   .idle_since = has_probed ? first_byte_at : start,
@@ -19,22 +21,22 @@
            start;
 }
 
-TEST(RequestLineDeadline, CountsFromTheConnectWheneverTheLineBegan) {
+TEST(RequestLineDeadline, LineWithoutProbeIsTimedFromConnect) {
     for (const Duration first_byte : {Duration{}, seconds(0.5), seconds(1.4)})
-        EXPECT_EQ(time_from_connect(first_byte, false).ns, seconds(2.5).ns);
+        EXPECT_EQ(deadline_after_connect(first_byte, false).ns, seconds(2.5).ns);
 }
 
-TEST(RequestLineDeadline, AProbeBeforeTheLineDoesNotExtendIt) {
+TEST(RequestLineDeadline, LineAfterEarlyProbeIsTimedFromConnect) {
     for (const Duration first_byte : {Duration{}, seconds(1), seconds(1.9)})
-        EXPECT_EQ(time_from_connect(first_byte, true).ns, seconds(2.5).ns);
+        EXPECT_EQ(deadline_after_connect(first_byte, true).ns, seconds(2.5).ns);
 }
 
-TEST(RequestLineDeadline, AfterSecondsOfProbesItCountsFromTheFirstByte) {
+TEST(RequestLineDeadline, LineAfterSecondsOfProbesIsTimedFromFirstByte) {
     for (const Duration first_byte : {seconds(2), seconds(30)})
-        EXPECT_EQ((time_from_connect(first_byte, true) - first_byte).ns, seconds(2.5).ns);
+        EXPECT_EQ((deadline_after_connect(first_byte, true) - first_byte).ns, seconds(2.5).ns);
 }
 
-TEST(RequestLineDeadline, WhoSaysNothingHasLessAndAProberAtRestMore) {
+TEST(RequestLineDeadline, ClientWithoutLineHasLessTimeAndIdleProberMore) {
     EXPECT_EQ(request_line_deadline({.connected_at = start, .idle_since = start}).ns,
               (start + seconds(1.5)).ns);
     const TimePoint probed_at = start + seconds(7);
