--- a/src/upstream/address_health.cpp
+++ b/src/upstream/address_health.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-// For so long nothing at all came from an address that is silent.
+// An address is silent only if it has sent nothing for longer than this.
 constexpr Duration max_silence = seconds(0.7);
-// Younger unanswered lines say nothing yet.
+// Lines that have waited for a shorter time do not count as unanswered yet.
 constexpr Duration min_unanswered_time = seconds(0.25);
-// Unanswered attempts and failed connects that make an address silent: one alone may be a fault of its own.
-constexpr int min_signs_of_silence = 2;
+// The number of unanswered attempts and failed connects, taken together, from which an address is silent: a
+// single one may be a fault of that connection only.
+constexpr int min_failures_for_silence = 2;
 
 }  // namespace
 
@@ -31,9 +32,9 @@
     ++addresses_.at(address).failed_connects;
 }
 
-void AddressHealthTable::begin_check(TimePoint now, Duration stopped) {
+void AddressHealthTable::begin_check(TimePoint now, Duration process_stall) {
     for (auto& [address, health] : addresses_) {
-        health.last_received = health.last_received + stopped;
+        health.last_received = health.last_received + process_stall;
         health.unanswered_attempts = 0;
         health.oldest_unanswered = now;
     }
@@ -49,7 +50,7 @@
 bool AddressHealthTable::is_silent(const std::string& address, TimePoint now) const {
     const AddressHealth& health = addresses_.at(address);
     if (health.unanswered_attempts == 0) return false;
-    if (health.unanswered_attempts + health.failed_connects < min_signs_of_silence) return false;
+    if (health.unanswered_attempts + health.failed_connects < min_failures_for_silence) return false;
     return now - health.last_received > max_silence && now - health.oldest_unanswered > max_silence;
 }
 
--- a/src/upstream/address_health.h
+++ b/src/upstream/address_health.h
@@ -1,4 +1,5 @@
-/// Finds servers that have fallen silent as a whole: hung, cut off or vanished. No I/O.
+/// Detects servers that have become unresponsive as a whole: hung, cut off from the network or vanished. Does
+/// no I/O.
 #pragma once
 #include <string>
 #include <unordered_map>
@@ -8,21 +9,22 @@
 
 namespace headrouter {
 
-/// What the attempts to one server address show together.
+/// The combined state of all attempts to one server address.
 struct AddressHealth {
-    int attempts = 0;             ///< under way or established
-    TimePoint last_received;      ///< when anything came from there
-    int failed_connects = 0;      ///< timed out since then
-    int unanswered_attempts = 0;  ///< at the last check, by a line that waits for an answer
-    TimePoint oldest_unanswered;  ///< at the last check, since when one of them waits
+    int attempts = 0;             ///< attempts in progress or established
+    TimePoint last_received;      ///< when the address last sent any bytes
+    int failed_connects = 0;      ///< connects that have timed out since `last_received`
+    int unanswered_attempts = 0;  ///< attempts that, at the last check, had a line without an answer
+    TimePoint oldest_unanswered;  ///< since when, at the last check, the longest of them had waited
 };
 
-/// The health of each address to which there are attempts. Clients speak every few seconds only, so the last
-/// of a server's connections would be found silent long after the first; several unanswered ones, with
-/// nothing at all coming from the address, tell of the whole server sooner: a busy one still answers some.
+/// Tracks the health of each address to which there are attempts. Clients send lines only every few seconds,
+/// so a check of each connection by itself would find the last silent connection of a server long after the
+/// first. Several unanswered attempts, with no bytes at all from the address, show sooner that the whole
+/// server is unresponsive: an overloaded server still answers some of them.
 class AddressHealthTable {
    public:
-    /// By the bytes of the socket address.
+    /// Keyed by the bytes of the socket address.
     using State = std::unordered_map<std::string, AddressHealth>;
 
     const State& state() const { return addresses_; }
@@ -34,10 +36,14 @@
     void on_connect_timeout(const std::string& address);
     void clear() { addresses_.clear(); }
 
-    /// Begins a check: unanswered attempts are then counted anew. `stopped`: how long this process did not
-    /// run before, which is no silence of a server.
-    void begin_check(TimePoint now, Duration stopped);
+    /// Begins a check and resets the counts of unanswered attempts. `process_stall` is the time for which
+    /// this process did not run since the last check; it does not count as silence of a server.
+    void begin_check(TimePoint now, Duration process_stall);
+
+    /// Adds an attempt whose oldest unanswered line was forwarded at `unanswered_since`.
     void count_unanswered(const std::string& address, TimePoint now, TimePoint unanswered_since);
+
+    /// Returns whether the address as a whole is silent, as of the check that was begun last.
     bool is_silent(const std::string& address, TimePoint now) const;
 
    private:
--- a/src/upstream/report_classifier.h
+++ b/src/upstream/report_classifier.h
@@ -1,6 +1,6 @@
-/// Tells what a `LOAD X` line of a server reports. Where the settings announce both kinds of report, servers
-/// use the one word for either: the load of the connection now, in microseconds of work a second, and the
-/// time that a message takes at the server now, in milliseconds. No I/O.
+/// Classifies the `LOAD X` lines of servers as load or latency reports. If the settings announce both kinds,
+/// servers use the same word for both: the current load of the connection, in microseconds of work per
+/// second, and the current time that a message takes at the server, in milliseconds. Does no I/O.
 #pragma once
 #include <array>
 #include <optional>
@@ -12,46 +12,51 @@
 enum class ReportKind {
     load,
     latency,
-    undecided  ///< to be resolved by what follows
+    undecided  ///< depends on the reports that follow
 };
 
-/// The reports of one connection.
+/// The report history of one connection.
 struct ReportHistory {
     std::optional<double> last_load;
-    std::optional<TimePoint> last_latency_at;  ///< none once a latency report said that the delay is over
+    std::optional<TimePoint>
+        last_latency_at;  ///< empty after a latency report below the minimum, which ends the series
     std::optional<TimePoint> undecided_at;
     double undecided_value = 0;
     double last_latency = 0;
 };
 
-/// Shared by all connections: servers send their latency reports at the same phase of each second.
+/// Classifies the reports of all connections. One object is shared by all of them, since servers send their
+/// latency reports at the same phase of each second.
 class ReportClassifier {
    public:
-    /// Phases of a second at which latency reports are expected.
+    /// The maximum number of phases of a second at which latency reports are expected.
     static constexpr size_t phase_count = 8;
 
     struct State {
-        std::array<std::optional<TimePoint>, phase_count> latest_by_phase{};  ///< latency reports
+        std::array<std::optional<TimePoint>, phase_count>
+            latest_by_phase{};  ///< time of the latest latency report at each phase
         std::optional<TimePoint> last_undecided_at;
     };
 
     const State& state() const { return state_; }
     void restore(const State& state) { state_ = state; }
 
-    /// Latencies are reported from `min_latency_ms` on; zero where none are.
+    /// Servers report latencies of at least `min_latency_ms`; zero means that they report loads only.
     explicit ReportClassifier(double min_latency_ms) : min_latency_ms_(min_latency_ms) {}
     void set_min_latency(double min_latency_ms) { min_latency_ms_ = min_latency_ms; }
 
-    /// An undecided report that the next one finds was a load; the next one replaces it.
+    /// Returns the kind of a report that arrived at `now`. If the report is undecided, it replaces an earlier
+    /// undecided report of the connection, which then counts as a load.
     [[nodiscard]] ReportKind classify(TimePoint now, ReportHistory& history, double value);
 
-    /// Looks again at an undecided report, several times a second; its value stays in `undecided_value`. The
-    /// kind is undecided where there is none, too.
+    /// Tries again to classify the undecided report of a connection, whose value stays in
+    /// `history.undecided_value`; called several times a second. Returns `undecided` also if there is no such
+    /// report.
     [[nodiscard]] ReportKind resolve_undecided(TimePoint now, ReportHistory& history);
 
    private:
-    ReportKind as_latency(TimePoint at, ReportHistory& history, double value);
-    bool begins_latency_reports(TimePoint now, const ReportHistory& history, double value) const;
+    ReportKind record_latency(TimePoint at, ReportHistory& history, double value);
+    bool starts_latency_series(TimePoint now, const ReportHistory& history, double value) const;
     bool is_at_known_phase(TimePoint at) const;
 
     double min_latency_ms_;
--- a/src/upstream/server_line.h
+++ b/src/upstream/server_line.h
@@ -1,4 +1,4 @@
-/// What servers say, line by line. No I/O.
+/// Parses the lines that servers send. Does no I/O.
 #pragma once
 #include <optional>
 #include <string_view>
@@ -7,23 +7,26 @@
 
 namespace headrouter {
 
-/// The first word of a line and what follows the space behind it, without the line end. Both refer to the
-/// line.
+/// The first word of a line and the text after the following space, without the line end. Both are views into
+/// the line.
 struct ServerLine {
     std::string_view word;
     std::string_view rest;
 };
 
+/// Splits a line at its first space; `rest` is empty if there is none.
 ServerLine split_server_line(std::string_view line);
 
+/// The words with which a server line can begin.
 enum class ServerWord { up, busy, bye, move, error, load, unknown };
 
+/// Returns the word spelt `word`, or `unknown`; case matters.
 ServerWord server_word(std::string_view word);
 
-/// How a line that is not UP ends an attempt that waits for its response.
+/// Returns the outcome of an attempt that is answered by a line other than UP.
 AttemptOutcome outcome_of_response(ServerWord word);
 
-/// The value of a report: a finite number from 0 on, or none.
+/// Returns the value of a report, or nothing unless `text` is a finite number of at least 0.
 std::optional<double> parse_report_value(std::string_view text);
 
 }  // namespace headrouter
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// A sound connection answers each line at once, so a few seconds of silence are a server that hangs, is cut
-// off or vanished: TCP itself would notice only after minutes.
+// A healthy server answers each line at once, so a connection without an answer for longer than this belongs
+// to a server that hangs, is cut off or has vanished. TCP itself would notice only after minutes.
 constexpr Duration max_silence = seconds(1.5);
-// A longer time between two checks means that this process did not run.
+// If more time elapses between two checks, this process was stalled.
 constexpr Duration max_check_interval = seconds(0.3);
 
 std::string bytes_of(const Address& address) {
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-Upstream::Upstream(struct ev_loop* loop, LingeringCloser& closer, Counters& counters,
+Upstream::Upstream(struct ev_loop* loop, LingeringCloser& lingering_closer, Counters& counters,
                    ReportClassifier classifier)
-    : loop_(loop), closer_(closer), counters_(counters), classifier_(classifier) {}
+    : loop_(loop), lingering_closer_(lingering_closer), counters_(counters), classifier_(classifier) {}
 
 // ---- attempts and their timers ----
 
@@ -77,7 +77,7 @@
         static_cast<AttemptState&>(*attempt) = std::move(transferred.attempt);
         attempt->connection = make_connection(std::move(*descriptor++), id);
         attempt->connection->restore(std::move(transferred.connection));
-        // The time at which the timer is due stays as it is, to the nanosecond.
+        // `timer_due` keeps its exact transferred value, so `set_timer` is not used here.
         if (attempt->stage != Stage::established)
             attempt->timer.start_once(attempt->timer_due - Clock::now());
     }
@@ -90,13 +90,14 @@
 }
 
 void Upstream::end_attempt(RequestId id, AttemptResult result) {
-    const std::string reply(result.reply);  // its bytes belong to the connection that goes now
+    const std::string reply(
+        result.reply);  // copied, since the bytes belong to the connection that is closed next
     result.reply = reply;
     close(id, result.close_reason);
     events_->on_attempt_ended(id, result);
 }
 
-// ---- what the request router asks for ----
+// ---- calls by the request router ----
 
 void Upstream::start_attempt(RequestId id, const Address& address, std::string request_line,
                              Duration connect_timeout, Duration response_timeout) {
@@ -139,20 +140,20 @@
     addresses_.remove_attempt(attempt->address);
     attempt->timer.stop();
     if (!attempt->connection) return;
-    // A request line that is only partly out must not be completed while the connection lingers: the request
-    // would run after all.
+    // A request line that is only partly sent must not be completed while the connection lingers: the server
+    // would execute the request after all.
     if (reason == CloseReason::reset || attempt->is_unsent())
         attempt->connection->abort();
     else
         attempt->connection->finish();
-    closer_.add(std::move(attempt->connection));
+    lingering_closer_.add(std::move(attempt->connection));
 }
 
 void Upstream::pause_reading(RequestId id, bool is_paused) {
     Attempt* attempt = find(id);
     if (!attempt || !attempt->connection || attempt->is_reading_paused == is_paused) return;
     attempt->is_reading_paused = is_paused;
-    attempt->unanswered_since = TimePoint{};  // what is not read cannot count as silence
+    attempt->unanswered_since = TimePoint{};  // while reading is paused, missing answers are not silence
     attempt->connection->pause_reading(is_paused);
 }
 
@@ -162,22 +163,22 @@
     return found->second->connection->unsent_bytes();
 }
 
-// ---- what comes from the connections ----
+// ---- events of the connections ----
 
 void Upstream::on_connected(LineConnection& connection) {
     const RequestId id = connection.id();
-    // The endpoint list may have changed while the connection was set up, or the client gone; a request
-    // counts as sent from its first byte.
+    // While the connection was set up, the endpoint list may have changed or the client may have left. The
+    // router can still stop the request now; from its first byte on, it counts as sent.
     const bool may_send = events_->may_send(id);
     Attempt* attempt = find(id);
-    if (!attempt) return;  // its request has just ended
+    if (!attempt) return;  // the router has ended the request in may_send
     if (!may_send) {
         end_attempt(id, {AttemptOutcome::not_sent, CloseReason::fin, false, {}});
         return;
     }
     attempt->stage = Stage::sending;
     set_timer(*attempt, attempt->response_deadline - Clock::now());
-    connection.send(attempt->request_line);  // calls on_output_drained; the attempt may have ended by then
+    connection.send(attempt->request_line);  // calls on_output_drained, which may end the attempt
 }
 
 void Upstream::on_output_drained(LineConnection& connection) {
@@ -190,17 +191,17 @@
     if (attempt->stage == Stage::established) events_->on_server_writable(connection.id());
 }
 
-void Upstream::on_bytes(LineConnection& connection, std::string_view bytes, bool is_whole) {
+void Upstream::on_bytes(LineConnection& connection, std::string_view bytes, bool complete) {
     const RequestId id = connection.id();
     Attempt* attempt = find(id);
     if (!attempt) return;
     counters_.add(Counter::server_lines);
-    if (!is_whole) counters_.add(Counter::long_lines);
+    if (!complete) counters_.add(Counter::long_lines);
     attempt->unanswered_since = TimePoint{};
     addresses_.on_received(attempt->address, Clock::now());
     const ServerLine line = split_server_line(bytes);
     const ServerWord word = server_word(line.word);
-    if (is_whole && word == ServerWord::load) {
+    if (complete && word == ServerWord::load) {
         on_report(*attempt, line.rest);
         attempt = find(id);
         if (!attempt || attempt->stage != Stage::established) return;
@@ -209,10 +210,10 @@
         on_response(*attempt, bytes);
         return;
     }
-    const bool is_bare_word = is_whole && line.rest.empty();
-    if (is_bare_word && word == ServerWord::bye) attempt->received_bye = true;
-    if (is_bare_word && word == ServerWord::move) attempt->received_move = true;
-    events_->on_server_bytes(id, bytes, is_whole);
+    const bool is_single_word = complete && line.rest.empty();
+    if (is_single_word && word == ServerWord::bye) attempt->received_bye = true;
+    if (is_single_word && word == ServerWord::move) attempt->received_move = true;
+    events_->on_server_bytes(id, bytes, complete);
 }
 
 void Upstream::on_response(Attempt& attempt, std::string_view line) {
@@ -236,7 +237,7 @@
     else if (attempt->received_move)
         outcome = AttemptOutcome::cancelled;
     else if (attempt->is_unsent())
-        outcome = AttemptOutcome::connect_failed;  // the request cannot have run
+        outcome = AttemptOutcome::connect_failed;  // the request cannot have been executed
     end_attempt(connection.id(), {outcome, reason, false, {}});
 }
 
@@ -246,11 +247,11 @@
     if (attempt->stage == Stage::connecting) addresses_.on_connect_timeout(attempt->address);
     const AttemptOutcome outcome =
         attempt->is_unsent() ? AttemptOutcome::connect_failed : AttemptOutcome::timed_out;
-    // Destroys the attempt, and with it the timer that called this.
+    // This destroys the attempt and with it the timer that called this function.
     end_attempt(id, {outcome, CloseReason::fin, false, {}});
 }
 
-// ---- reports of load and latency ----
+// ---- load and latency reports ----
 
 void Upstream::on_report(Attempt& attempt, std::string_view value_text) {
     const std::optional<double> value = parse_report_value(value_text);
@@ -285,14 +286,14 @@
     return resolved;
 }
 
-// ---- servers that fall silent ----
+// ---- silent servers ----
 
-void Upstream::count_unanswered(TimePoint now, Duration stopped) {
-    addresses_.begin_check(now, stopped);
+void Upstream::count_unanswered(TimePoint now, Duration process_stall) {
+    addresses_.begin_check(now, process_stall);
     for (const auto& [id, attempt] : attempts_) {
         if (attempt->stage != Stage::established || attempt->unanswered_since.ns == 0) continue;
-        // Time in which this process did not run is no silence: what the server was sent may still be unread.
-        attempt->unanswered_since = attempt->unanswered_since + stopped;
+        // Time for which this process was stalled does not count: the server's answer may still be unread.
+        attempt->unanswered_since = attempt->unanswered_since + process_stall;
         addresses_.count_unanswered(attempt->address, now, attempt->unanswered_since);
     }
 }
@@ -317,7 +318,7 @@
     count_unanswered(now, elapsed > max_check_interval ? elapsed : Duration{});
     std::vector<ResolvedReport> reports = resolve_reports(now);
     std::vector<RequestId> silent = silent_attempts(now);
-    // In the same order every time, whatever the table's is.
+    // Sorted by id, so that the order of events does not depend on the iteration order of the hash table.
     std::sort(reports.begin(), reports.end(),
               [](const ResolvedReport& a, const ResolvedReport& b) { return a.id < b.id; });
     std::sort(silent.begin(), silent.end());
--- a/src/upstream/upstream.h
+++ b/src/upstream/upstream.h
@@ -1,4 +1,4 @@
-/// The connections to servers: one for each attempt, from the connect to the last line.
+/// Manages the connections to servers, one for each attempt, from the connect to the last line.
 #pragma once
 #include <map>
 #include <memory>
@@ -18,12 +18,15 @@
 
 namespace headrouter {
 
-/// Runs on the thread of the event loop. What it is given by reference outlives it.
+/// Connects attempts to servers, forwards their lines, classifies load and latency reports, and ends attempts
+/// whose server is silent. Must be used on the thread of the event loop. All references passed in must
+/// outlive this object.
 class Upstream : public UpstreamInterface, private LineConnection::Owner {
    public:
-    Upstream(struct ev_loop* loop, LingeringCloser& closer, Counters& counters, ReportClassifier classifier);
+    Upstream(struct ev_loop* loop, LingeringCloser& lingering_closer, Counters& counters,
+             ReportClassifier classifier);
 
-    /// Before the first attempt.
+    /// Must be called before the first attempt.
     void set_event_handler(UpstreamEvents& events) { events_ = &events; }
 
     void start_attempt(RequestId id, const Address& address, std::string request_line,
@@ -33,36 +36,40 @@
     void pause_reading(RequestId id, bool is_paused) override;
     size_t unsent_bytes(RequestId id) const override;
 
-    /// Servers report latencies from `min_latency_ms` on; zero: they report loads only.
+    /// Sets the latency from which on servers report it; zero means that they report loads only.
     void set_min_reported_latency(double min_latency_ms) { classifier_.set_min_latency(min_latency_ms); }
 
-    /// Another process has all connections now: closes them here without a word to the servers.
+    /// Closes this process's descriptors of all connections without sending anything to the servers: another
+    /// process has taken the connections over.
     void detach_all();
 
-    /// Ends the attempts whose servers have fallen silent and resolves undecided reports; called several
-    /// times a second.
+    /// Ends the attempts whose servers are silent and resolves undecided reports. Called several times a
+    /// second.
     void check_silence(TimePoint now);
 
     size_t size() const { return attempts_.size(); }
 
-    /// The hot restart hands these values on: a new one goes to the end.
+    /// The progress of an attempt. A hot restart transfers the numeric values, so new ones are added at the
+    /// end.
     enum class Stage { connecting, sending, awaiting_response, established };
 
-    /// What is kept of an attempt beside its connection.
+    /// The state of an attempt, apart from its connection.
     struct AttemptState {
         std::string request_line;
         std::string address;  ///< the bytes of the socket address
         Stage stage = Stage::connecting;
         TimePoint response_deadline;
-        TimePoint timer_due;         ///< until it is established
-        TimePoint unanswered_since;  ///< the oldest client line that brought nothing back; zero for none
+        TimePoint timer_due;         ///< when the timer expires; unused once established
+        TimePoint unanswered_since;  ///< when the oldest line without an answer was forwarded; zero if there
+                                     ///< is none
         ReportHistory reports;
         bool received_bye = false;
         bool received_move = false;
         bool is_reading_paused = false;
     };
 
-    /// What the next process needs to go on with all attempts, beside their descriptors.
+    /// The state, apart from descriptors, with which the next process of a hot restart continues all
+    /// attempts.
     struct State {
         struct TransferredAttempt {
             AttemptState attempt;
@@ -71,15 +78,17 @@
 
         ReportClassifier::State classifier;
         TimePoint last_check;
-        AddressHealthTable::State addresses;  ///< has the address of each attempt
+        AddressHealthTable::State addresses;  ///< has an entry for the address of each attempt
         std::map<RequestId, TransferredAttempt> attempts;
     };
     State state() const;
 
-    /// The descriptors of the attempts, in the order of `State::attempts`; still owned by these.
+    /// Returns the descriptors of the attempts in the order of `State::attempts`; the attempts keep
+    /// ownership.
     std::vector<int> descriptors() const;
 
-    /// Goes on with the attempts of another process, before the first of its own. `descriptors` as above.
+    /// Takes over the attempts of another process, before this one starts its first attempt. `descriptors`
+    /// are in the order of `State::attempts`.
     void restore(State state, std::span<FileDescriptor> descriptors);
 
    private:
@@ -91,7 +100,7 @@
         TimerWatcher timer;
         std::unique_ptr<LineConnection> connection;
 
-        /// Whether the server cannot have seen the whole request line yet.
+        /// Returns whether the server cannot have received the whole request line yet.
         bool is_unsent() const { return stage == Stage::connecting || stage == Stage::sending; }
     };
 
@@ -102,7 +111,7 @@
     };
 
     void on_connected(LineConnection& connection) override;
-    void on_bytes(LineConnection& connection, std::string_view bytes, bool is_whole) override;
+    void on_bytes(LineConnection& connection, std::string_view bytes, bool complete) override;
     void on_closed(LineConnection& connection, CloseReason reason) override;
     void on_output_drained(LineConnection& connection) override;
     void on_timeout(RequestId id);
@@ -116,16 +125,16 @@
     static void set_timer(Attempt& attempt, Duration delay);
     void end_attempt(RequestId id, AttemptResult result);
 
-    void count_unanswered(TimePoint now, Duration stopped);
+    void count_unanswered(TimePoint now, Duration process_stall);
     bool is_silent(const Attempt& attempt, TimePoint now) const;
     std::vector<RequestId> silent_attempts(TimePoint now) const;
     std::vector<ResolvedReport> resolve_reports(TimePoint now);
 
     struct ev_loop* loop_;
-    LingeringCloser& closer_;
+    LingeringCloser& lingering_closer_;
     Counters& counters_;
     ReportClassifier classifier_;
-    TimePoint last_check_;  // for silence; zero before the first
+    TimePoint last_check_;  // of silence; zero before the first check
     UpstreamEvents* events_ = nullptr;
     std::unordered_map<RequestId, std::unique_ptr<Attempt>> attempts_;
     AddressHealthTable addresses_;
--- a/src/upstream/upstream_interface.h
+++ b/src/upstream/upstream_interface.h
@@ -1,8 +1,8 @@
 /// @file
-/// The two interfaces between the connections to servers (src/upstream) and the request router. The router
-/// sees servers through `UpstreamInterface` only and is told what they do through `UpstreamEvents`, so
-/// another server protocol is another implementation of the former. All calls are made on the thread of the
-/// event loop.
+/// Defines the two interfaces between the connections to servers (src/upstream) and the request router. The
+/// router controls attempts through `UpstreamInterface` only and receives their events through
+/// `UpstreamEvents`, so another server protocol needs only another implementation of `UpstreamInterface`. All
+/// calls are made on the thread of the event loop.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -14,68 +14,70 @@
 
 namespace headrouter {
 
-/// How an attempt ended, as its connection showed it.
+/// How an attempt ended, as observed on its connection.
 struct AttemptResult {
     AttemptOutcome outcome;
     CloseReason close_reason = CloseReason::fin;
-    bool server_silent = false;  ///< given up because the server sent nothing for too long
-    std::string_view reply =
-        {};  ///< the server's line that ended the attempt before it was established, or empty
+    bool server_silent = false;  ///< whether it was ended because the server sent nothing for too long
+
+    /// The line of the server that ended the attempt before it was established, or empty.
+    std::string_view reply = {};
 };
 
-/// What the request router may do with the attempts of its requests; a request has one attempt at a time.
-/// Unless said otherwise, a call for an attempt that has ended does nothing.
+/// Controls the attempts of requests on behalf of the request router. A request has at most one attempt at a
+/// time. Unless stated otherwise, a call for an attempt that has ended does nothing.
 class UpstreamInterface {
    public:
     virtual ~UpstreamInterface() = default;
 
-    /// Connects to `address` within `connect_timeout` and sends `first_line`; the server's answer to it is
-    /// due within `timeout`, counted from this call.
+    /// Connects to `address` within `connect_timeout` (zero for no limit of its own) and sends `first_line`.
+    /// The server must answer within `timeout`, counted from this call.
     virtual void start_attempt(RequestId, const Address& address, std::string first_line,
                                Duration connect_timeout, Duration timeout) = 0;
 
-    /// Sends `bytes` to the server. Counted as a late event where no attempt is established.
+    /// Sends `bytes` to the server. Counts a late event if the request has no established attempt.
     virtual void forward(RequestId, std::string_view bytes) = 0;
 
-    /// Ends the connection with FIN, after all that was sent, or with RST. A first line that has not gone out
-    /// whole is never completed: its connection is reset.
+    /// Closes the connection with FIN, after all unsent bytes, or with RST. If the first line has been sent
+    /// only in part or not at all, the connection is always reset, so that the line is never completed.
     virtual void close(RequestId, CloseReason) = 0;
 
-    /// Stops reading from the server, or goes on with it; what comes in meanwhile waits in the kernel.
+    /// Stops or resumes reading from the server. While paused, incoming bytes stay in the kernel.
     virtual void pause_reading(RequestId, bool paused) = 0;
 
-    /// Bytes given to `forward` that the kernel has not taken yet.
+    /// Returns the number of bytes passed to `forward` that the kernel has not accepted yet.
     virtual size_t unsent_bytes(RequestId) const = 0;
 };
 
-/// What the servers do. Each event names the request whose attempt it concerns.
+/// Receives the events of attempts. Each event names the request to which the attempt belongs.
 class UpstreamEvents {
    public:
     virtual ~UpstreamEvents() = default;
 
-    /// The connection is up: whether the first line may still be sent. Asked right before its first byte goes
-    /// out.
+    /// Returns whether the first line may still be sent. Called when the connection is set up, right before
+    /// the first byte is sent.
     virtual bool may_send(RequestId) = 0;
 
-    /// The last byte of the first line has gone out: from now on the request may have run.
+    /// Reports that the last byte of the first line has been sent: from now on the request may have been
+    /// executed.
     virtual void on_attempt_written(RequestId) = 0;
 
-    /// The server has accepted the request with `line`.
+    /// Reports that the server has accepted the request with `line`.
     virtual void on_attempt_established(RequestId, std::string_view line) = 0;
 
-    /// Bytes of an established attempt; `complete` unless they stop in the middle of a line.
+    /// Receives bytes of an established attempt. `complete` is false if they end in the middle of a line.
     virtual void on_server_bytes(RequestId, std::string_view bytes, bool complete) = 0;
 
-    /// The server reports its load: microseconds of work a second.
+    /// Receives the load reported by the server for this connection, in microseconds of work per second.
     virtual void on_load_report(RequestId, double load_us_per_s) = 0;
 
-    /// The server reports the mean latency of its messages, in milliseconds.
+    /// Receives the latency of messages reported by the server, in milliseconds.
     virtual void on_latency_report(RequestId, double latency_ms) = 0;
 
-    /// The attempt has ended and its connection is gone.
+    /// Reports that the attempt has ended and its connection is closed or lingering.
     virtual void on_attempt_ended(RequestId, const AttemptResult&) = 0;
 
-    /// The kernel has taken some of the unsent bytes.
+    /// Reports that the kernel has accepted some of the unsent bytes.
     virtual void on_server_writable(RequestId) = 0;
 };
 
--- a/tests/upstream/test_address_health.cpp
+++ b/tests/upstream/test_address_health.cpp
@@ -10,7 +10,7 @@
 
 TimePoint after(double elapsed) { return start + seconds(elapsed); }
 
-// Two attempts to one address, the last bytes from there at `start`.
+// Returns a table with two attempts to one address, which last sent bytes at `start`.
 AddressHealthTable two_attempts() {
     AddressHealthTable table;
     table.add_attempt(address);
@@ -19,27 +19,28 @@
     return table;
 }
 
-TEST(AddressHealth, TwoUnansweredAttemptsMakeAnAddressSilent) {
+TEST(AddressHealth, AddressWithTwoUnansweredAttemptsIsSilent) {
     AddressHealthTable table = two_attempts();
     table.begin_check(after(1), {});
     table.count_unanswered(address, after(1), after(0.1));
-    EXPECT_FALSE(table.is_silent(address, after(1)));  // one alone may be its own fault
+    EXPECT_FALSE(table.is_silent(
+        address, after(1)));  // one unanswered attempt alone may be a fault of that connection
     table.count_unanswered(address, after(1), after(0.2));
     EXPECT_TRUE(table.is_silent(address, after(1)));
     table.on_received(address, after(1));
     EXPECT_FALSE(table.is_silent(address, after(1)));
 }
 
-TEST(AddressHealth, AFailedConnectCountsBesideOneUnansweredAttempt) {
+TEST(AddressHealth, AddressWithFailedConnectAndOneUnansweredAttemptIsSilent) {
     AddressHealthTable table = two_attempts();
     table.on_connect_timeout(address);
     table.begin_check(after(1), {});
-    EXPECT_FALSE(table.is_silent(address, after(1)));  // nobody waits for an answer
+    EXPECT_FALSE(table.is_silent(address, after(1)));  // no attempt waits for an answer
     table.count_unanswered(address, after(1), after(0.1));
     EXPECT_TRUE(table.is_silent(address, after(1)));
 }
 
-TEST(AddressHealth, ShortWaitsAndTimeInWhichTheProcessStoodStillDoNotCount) {
+TEST(AddressHealth, ShortWaitsAndProcessStallsDoNotCountAsSilence) {
     AddressHealthTable table = two_attempts();
     table.begin_check(after(1), {});
     table.count_unanswered(address, after(1), after(0.9));
@@ -48,10 +49,11 @@
     table.begin_check(after(1), seconds(0.5));
     table.count_unanswered(address, after(1), after(0.1));
     table.count_unanswered(address, after(1), after(0.1));
-    EXPECT_FALSE(table.is_silent(address, after(1)));  // heard of at 0.5 s of the time in which it ran
+    EXPECT_FALSE(
+        table.is_silent(address, after(1)));  // with the stall of 0.5 s left out, last bytes at 0.5 s
 }
 
-TEST(AddressHealth, AnAddressIsForgottenWithItsLastAttempt) {
+TEST(AddressHealth, FailedConnectsAreForgottenAfterLastAttempt) {
     AddressHealthTable table = two_attempts();
     table.on_connect_timeout(address);
     table.remove_attempt(address);
