--- a/src/upstream/address_health.h
+++ b/src/upstream/address_health.h
@@ -40,7 +40,8 @@
     /// this process did not run since the last check; it does not count as silence of a server.
     void begin_check(TimePoint now, Duration process_stall);
 
-    /// Adds an attempt whose oldest unanswered line was forwarded at `unanswered_since`.
+    /// Adds to the check an attempt whose oldest unanswered line was forwarded at `unanswered_since`; the
+    /// attempt does not count as unanswered if that was only a moment before `now`.
     void count_unanswered(const std::string& address, TimePoint now, TimePoint unanswered_since);
 
     /// Returns whether the address as a whole is silent, as of the check that was begun last.
--- a/src/upstream/report_classifier.h
+++ b/src/upstream/report_classifier.h
@@ -18,8 +18,7 @@
 /// The report history of one connection.
 struct ReportHistory {
     std::optional<double> last_load;
-    std::optional<TimePoint>
-        last_latency_at;  ///< empty after a latency report below the minimum, which ends the series
+    std::optional<TimePoint> last_latency_at;  ///< empty once a report below the minimum ended the series
     std::optional<TimePoint> undecided_at;
     double undecided_value = 0;
     double last_latency = 0;
@@ -33,8 +32,8 @@
     static constexpr size_t phase_count = 8;
 
     struct State {
-        std::array<std::optional<TimePoint>, phase_count>
-            latest_by_phase{};  ///< time of the latest latency report at each phase
+        /// Time of the latest latency report at each phase.
+        std::array<std::optional<TimePoint>, phase_count> latest_by_phase{};
         std::optional<TimePoint> last_undecided_at;
     };
 
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -90,8 +90,7 @@
 }
 
 void Upstream::end_attempt(RequestId id, AttemptResult result) {
-    const std::string reply(
-        result.reply);  // copied, since the bytes belong to the connection that is closed next
+    const std::string reply(result.reply);  // copied: the connection that owns the bytes is closed next
     result.reply = reply;
     close(id, result.close_reason);
     events_->on_attempt_ended(id, result);
--- a/src/upstream/upstream_interface.h
+++ b/src/upstream/upstream_interface.h
@@ -71,7 +71,7 @@
     /// Receives the load reported by the server for this connection, in microseconds of work per second.
     virtual void on_load_report(RequestId, double load_us_per_s) = 0;
 
-    /// Receives the latency of messages reported by the server, in milliseconds.
+    /// Receives the mean latency of its messages that the server reports, in milliseconds.
     virtual void on_latency_report(RequestId, double latency_ms) = 0;
 
     /// Reports that the attempt has ended and its connection is closed or lingering.
