--- a/lab/simulation/balancer_messages.h
+++ b/lab/simulation/balancer_messages.h
@@ -121,7 +121,7 @@
     BalancerCommand command;
 };
 
-/// A gossip message to another balancer, or to all others (`everyone_else`).
+/// A gossip message to another balancer, or to all others (`all_other_replicas`).
 struct GossipMessage {
     TimePoint at;
     int to = 0;
--- a/lab/simulation/gossip_network.cpp
+++ b/lab/simulation/gossip_network.cpp
@@ -11,7 +11,7 @@
 void GossipNetwork::carry(int from, const GossipMessage& message, TimePoint earliest) {
     const TimePoint arrives = std::max(message.at + context_.world.peer_latency, earliest);
     for (int to = 0; to < context_.world.balancers; ++to) {
-        if (to == from || (message.to != everyone_else && message.to != to)) continue;
+        if (to == from || (message.to != all_other_replicas && message.to != to)) continue;
         ++datagrams_;
         bytes_ += message.bytes.size();
         for (scenario::Links::Passed& passed : links_.carry(message.at, from, to, message.bytes)) {
--- a/src/capture/event_fields.h
+++ b/src/capture/event_fields.h
@@ -33,7 +33,7 @@
     visit(config.passthrough);
     visit(config.groups);
     visit(config.advises_retry_after);
-    visit(config.park);
+    visit(config.parked_connection_lifetime);
     visit(config.max_retry_after);
     visit(config.step);
     visit(config.slow_start_time);
--- a/src/capture/policy_form.h
+++ b/src/capture/policy_form.h
@@ -83,10 +83,10 @@
     visit(archive, policy.loads.class_loads);
     visit(archive, policy.failovers);
     visit(archive, policy.message_objective);
-    visit(archive, policy.endpoints.is_asked);
+    visit(archive, policy.endpoints.is_request_pending);
     visit(archive, policy.endpoints.is_watching);
     visit(archive, policy.queue.has_timer);
-    visit(archive, policy.endpoints.asked_at);
+    visit(archive, policy.endpoints.requested_at);
     visit(archive, policy.endpoints.retry_pause);
     visit(archive, policy.warmup.warm_weight);
     visit_gossip_settings(archive, policy.config);
--- a/src/config/cluster_config.cpp
+++ b/src/config/cluster_config.cpp
@@ -95,7 +95,7 @@
 void parse_domain(const Json& domain, PolicyConfig& policy) {
     policy.passthrough = json::text_or(domain, "mode", "proxy") == "pass";
     policy.groups = json::flag_or(domain, "groups", false);
-    policy.park = json::span_or_zero(domain, "parkNs");
+    policy.parked_connection_lifetime = json::span_or_zero(domain, "parkNs");
     if (json::find(domain, "tenantQuotaConnections"))
         policy.quota = parse_total_quota(json::array(domain, "tenantQuotaConnections"));
 }
--- a/src/policy/endpoint_tracker.cpp
+++ b/src/policy/endpoint_tracker.cpp
@@ -15,24 +15,24 @@
 }  // namespace
 
 void EndpointTracker::request(TimePoint now) {
-    state_.is_asked = true;
-    state_.asked_at = now;
+    state_.is_request_pending = true;
+    state_.requested_at = now;
     actions_.watch_endpoints();
 }
 
 void EndpointTracker::on_retry_timer(TimePoint now) {
-    if (!state_.is_watching && !state_.is_asked) request(now);
+    if (!state_.is_watching && !state_.is_request_pending) request(now);
 }
 
 void EndpointTracker::on_update(EndpointUpdateKind kind) {
     if (kind == EndpointUpdateKind::cached) return;
-    state_.is_asked = false;
+    state_.is_request_pending = false;
     state_.is_watching = true;
     state_.retry_pause = first_retry_pause;
 }
 
 void EndpointTracker::on_error(TimePoint now) {
-    state_.is_asked = false;
+    state_.is_request_pending = false;
     state_.is_watching = false;
     if (config_.polls_endpoints) {
         const Duration pause =
--- a/src/policy/endpoint_tracker.h
+++ b/src/policy/endpoint_tracker.h
@@ -12,9 +12,9 @@
     static constexpr Duration first_retry_pause = millis(300);
 
     struct State {
-        bool is_asked = false;     ///< and not answered yet
-        bool is_watching = false;  ///< the last answer was a list
-        TimePoint asked_at;        ///< read by no rule, kept for the form of version 1
+        bool is_request_pending = false;  ///< and not answered yet
+        bool is_watching = false;         ///< the last answer was a list
+        TimePoint requested_at;           ///< read by no rule, kept for the form of version 1
         Duration retry_pause = first_retry_pause;
     };
 
--- a/src/policy/location_publisher.cpp
+++ b/src/policy/location_publisher.cpp
@@ -47,7 +47,7 @@
 }
 
 bool LocationPublisher::is_first_choice(TimePoint now, const std::string& group, ServerIndex server) {
-    const std::vector<ServerIndex>& order = rankings_.of(group, servers_).order;
+    const std::vector<ServerIndex>& order = rankings_.ranking_for(group, servers_).order;
     const auto first = std::find_if(order.begin(), order.end(), [&](ServerIndex index) {
         return eligibility::is_selectable(now, servers_[index]);
     });
@@ -63,7 +63,7 @@
         const ServerId& id = servers_[server].endpoint.server;
         rows.push_back({group, gossip::ShortServerIds::short_id_of(id)});
     }
-    if (!rows.empty()) actions_.send_gossip(everyone_else, gossip::encode_group_locations(rows));
+    if (!rows.empty()) actions_.send_gossip(all_other_replicas, gossip::encode_group_locations(rows));
 }
 
 void LocationPublisher::on_published(TimePoint now, const std::vector<gossip::GroupLocationRow>& rows) {
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -84,7 +84,7 @@
 
 std::optional<ServerIndex> Placement::choose_for_group(const PlacementContext& context,
                                                        const std::string& ranking_name) {
-    const fleet_load::RendezvousRanking& ranking = rankings_.of(ranking_name, servers_);
+    const fleet_load::RendezvousRanking& ranking = rankings_.ranking_for(ranking_name, servers_);
     if (const auto with_members = choose_with_members(context, ranking, false)) return with_members;
     PreferredServers preferred;
     if (const auto server = choose_preferred(context, ranking, preferred)) {
--- a/src/policy/policy_actions.h
+++ b/src/policy/policy_actions.h
@@ -7,7 +7,7 @@
 namespace headrouter {
 
 /// `replica` of send_gossip: all balancers but this one.
-constexpr int everyone_else = -1;
+constexpr int all_other_replicas = -1;
 
 /// Carries the policy's decisions out. Called from within the policy's events, never at another time.
 class PolicyActions {
@@ -25,7 +25,7 @@
     virtual void set_timer(TimePoint, uint64_t token) = 0;
     /// Asks for the endpoint list and for each change of it.
     virtual void watch_endpoints() = 0;
-    /// Sends a message to the balancer with that replica index, or to `everyone_else`.
+    /// Sends a message to the balancer with that replica index, or to `all_other_replicas`.
     virtual void send_gossip(int replica, const std::string& bytes) = 0;
 };
 
--- a/src/policy/policy_config.h
+++ b/src/policy/policy_config.h
@@ -19,7 +19,8 @@
     bool passthrough = false;          ///< packets pass through, and may come to another balancer at any time
     bool groups = false;               ///< requests name affinity groups
     bool advises_retry_after = false;  ///< rejects say when to ask again
-    Duration park;  ///< how long a server keeps the connection of a client that another balancer serves
+    Duration parked_connection_lifetime;  ///< how long a server keeps the connection of a client that another
+                                          ///< balancer serves
     Duration max_retry_after;
     Duration step;                ///< the least time between two batches of the host's events
     Duration slow_start_time;     ///< from the launch of a server until it is warm
--- a/src/policy/rendezvous_rankings.cpp
+++ b/src/policy/rendezvous_rankings.cpp
@@ -4,8 +4,8 @@
 
 namespace headrouter {
 
-const fleet_load::RendezvousRanking& RendezvousRankings::of(const std::string& name,
-                                                            const ServerTable& servers) {
+const fleet_load::RendezvousRanking& RendezvousRankings::ranking_for(const std::string& name,
+                                                                     const ServerTable& servers) {
     // Bounded: all are made anew when needed.
     if (rankings_.size() >= most_names && !rankings_.contains(name)) rankings_.clear();
     fleet_load::RendezvousRanking& ranking = rankings_[name];
--- a/src/policy/rendezvous_rankings.h
+++ b/src/policy/rendezvous_rankings.h
@@ -19,7 +19,7 @@
     void restore(State state) { rankings_ = std::move(state); }
 
     /// The name's ranking of all servers. Valid until the next call.
-    const fleet_load::RendezvousRanking& of(const std::string& name, const ServerTable&);
+    const fleet_load::RendezvousRanking& ranking_for(const std::string& name, const ServerTable&);
 
    private:
     static constexpr size_t most_names = 4096;
--- a/src/policy/request_pipeline.cpp
+++ b/src/policy/request_pipeline.cpp
@@ -112,7 +112,8 @@
 bool RequestPipeline::is_parked_at_server(TimePoint now, const RequestState& request,
                                           const FailoverTable::Entry* failover) const {
     if (!request.mid_stream || !request.attempts.empty()) return false;
-    if (!failover || !failover->is_parked || now - failover->at >= config_.park) return false;
+    if (!failover || !failover->is_parked || now - failover->at >= config_.parked_connection_lifetime)
+        return false;
     return servers_[failover->server].endpoint.state != EndpointState::removed;
 }
 
--- a/src/policy/round_exchange.cpp
+++ b/src/policy/round_exchange.cpp
@@ -51,7 +51,7 @@
     const double mean = total / std::max(1, servers_.active_count());
     const gossip::RoundSum sum{round, tally.reporter_count(), total,
                                tally.loads_above(mean * named_over_mean)};
-    actions_.send_gossip(everyone_else, encode(gossip::MessageKind::round_sum, sum));
+    actions_.send_gossip(all_other_replicas, encode(gossip::MessageKind::round_sum, sum));
     on_sum(now, sum);
 }
 
--- a/src/proxy/gossip_socket.cpp
+++ b/src/proxy/gossip_socket.cpp
@@ -93,7 +93,7 @@
 
 void GossipSocket::publish(int slot, std::string_view bytes) {
     if (!is_open()) return;
-    if (slot != everyone_else) {
+    if (slot != all_other_replicas) {
         send_to(slot, bytes);
         return;
     }
--- a/src/proxy/gossip_socket.h
+++ b/src/proxy/gossip_socket.h
@@ -29,7 +29,7 @@
     void close();
     bool is_open() const { return static_cast<bool>(fd_); }
 
-    /// `slot`: the replica index of the receiver, or everyone_else. Nothing is sent while the socket is
+    /// `slot`: the replica index of the receiver, or all_other_replicas. Nothing is sent while the socket is
     /// closed.
     void publish(int slot, std::string_view bytes) override;
 
--- a/src/router/gossip_interface.h
+++ b/src/router/gossip_interface.h
@@ -14,7 +14,7 @@
    public:
     virtual ~GossipInterface() = default;
 
-    /// Sends `bytes` to the balancer with `replica_index`, or to all others where it is `everyone_else`.
+    /// Sends `bytes` to the balancer with `replica_index`, or to all others where it is `all_other_replicas`.
     virtual void publish(int replica_index, std::string_view bytes) = 0;
 };
 
--- a/tests/gossip/test_gossip.cpp
+++ b/tests/gossip/test_gossip.cpp
@@ -105,7 +105,7 @@
             for (const auto& timer : sender.actions.take_timers()) sender.timers.push_back(timer);
             for (const auto& [receiver, bytes] : std::exchange(sender.actions.gossip, {}))
                 for (int to = 0; to < size(); ++to) {
-                    if (to == from || (receiver != everyone_else && receiver != to)) continue;
+                    if (to == from || (receiver != all_other_replicas && receiver != to)) continue;
                     Datagram datagram{now + millis(10), from, to, bytes};
                     for (int left = copies(datagram); left > 0; --left) in_flight_.push_back(datagram);
                 }
--- a/tests/policy/test_rules.cpp
+++ b/tests/policy/test_rules.cpp
@@ -223,7 +223,7 @@
 TEST(Rules, AResumedStreamGoesBackToItsServerEvenWhileItDrains) {
     PolicyConfig config = make_config();
     config.passthrough = true;
-    config.park = seconds(5);
+    config.parked_connection_lifetime = seconds(5);
     auto&& [actions, policy, inspector] = PolicyFixture(make_four_endpoints(), config);
     policy.on_request_adopted(cycle_start, make_request(1, cycle_start, "k"), "c");
     policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::cancelled, seconds(1), true, {});
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -25,7 +25,7 @@
         bool is(TimerKind kind) const { return kind_of_timer(token) == kind; }
     };
     struct PublishedGossip {
-        int replica;  ///< to whom: a replica index or `everyone_else`
+        int replica;  ///< to whom: a replica index or `all_other_replicas`
         std::string bytes;
     };
 
