--- a/src/affinity/failover_table.cpp
+++ b/src/affinity/failover_table.cpp
@@ -3,14 +3,14 @@
 namespace headrouter {
 
 namespace {
-constexpr size_t most_keys = 2048;
+constexpr size_t max_records = 2048;
 constexpr Duration entry_lifetime = seconds(30);
 }  // namespace
 
 void FailoverTable::record(TimePoint now, const std::string& key, ServerIndex server, bool is_parked) {
     if (key.empty()) return;
     while (!state_.by_age.empty() &&
-           (state_.by_age.size() >= most_keys || now - state_.by_age.front().second > entry_lifetime)) {
+           (state_.by_age.size() >= max_records || now - state_.by_age.front().second > entry_lifetime)) {
         const auto& [oldest, recorded_at] = state_.by_age.front();
         const auto it = state_.entries.find(oldest);
         if (it != state_.entries.end() && it->second.at == recorded_at) state_.entries.erase(it);
--- a/src/affinity/group_table.cpp
+++ b/src/affinity/group_table.cpp
@@ -5,8 +5,9 @@
 namespace headrouter {
 
 namespace {
-// Pairs of connections, before it is believed how often two are in one group.
-constexpr double least_pairs = 40;
+// Added to the number of pairs of connections, so that the rate of pairs in the same group counts only after
+// many pairs have been seen.
+constexpr double prior_pairs = 40;
 }  // namespace
 
 const std::vector<GroupTable::Members>& GroupTable::servers_of(const std::string& group) const {
@@ -27,18 +28,18 @@
     return all;
 }
 
-// A balancer that holds few connections sees one of a group, whether the group is a tenth of all or a
-// thousandth. How often two of its own belong together tells how large groups are; where it does not, the
-// groups are small, and their preferred servers few.
+// A balancer with few connections sees one connection of a group, whether the group has a tenth or a
+// thousandth of all connections. How often two of its own connections are in the same group indicates how
+// large groups are. Without such pairs, groups are taken to be small and have few preferred servers.
 double GroupTable::size_uncertainty() const {
-    return (state_.connections * (state_.connections - 1) / 2 + least_pairs) / (state_.pairs + 1);
+    return (state_.connections * (state_.connections - 1) / 2 + prior_pairs) / (state_.pairs + 1);
 }
 
-void GroupTable::change(const std::string& group, ServerIndex server, int by) {
+void GroupTable::change_count(const std::string& group, ServerIndex server, int by) {
     std::vector<Members>& servers = state_.groups[group];
-    int others = std::min(by, 0);
-    for (const Members& members : servers) others += members.count;
-    state_.pairs += by * others;
+    int other_members = std::min(by, 0);
+    for (const Members& members : servers) other_members += members.count;
+    state_.pairs += by * other_members;
     state_.connections += by;
     const auto it = std::find_if(servers.begin(), servers.end(),
                                  [&](const Members& members) { return members.server == server; });
--- a/src/affinity/group_table.h
+++ b/src/affinity/group_table.h
@@ -1,4 +1,4 @@
-/// Which servers have how many of this balancer's connections of each affinity group.
+/// Counts this balancer's connections of each affinity group on each server.
 #pragma once
 #include <string>
 #include <unordered_map>
@@ -9,7 +9,7 @@
 
 namespace headrouter {
 
-/// Counts the members of affinity groups by server, and how often two connections are in one group.
+/// Counts the members of affinity groups by server, and the pairs of connections that are in the same group.
 class GroupTable {
    public:
     struct Members {
@@ -18,27 +18,29 @@
     };
 
     struct State {
-        std::unordered_map<std::string, std::vector<Members>> groups;  ///< looked up only: in no order
-        double connections = 0;                                        ///< of all groups
-        double pairs = 0;  ///< pairs of connections that are in one group
+        std::unordered_map<std::string, std::vector<Members>> groups;  ///< unordered: only looked up by name
+        double connections = 0;                                        ///< number in all groups
+        double pairs = 0;  ///< pairs of connections that are in the same group
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    void add(const std::string& group, ServerIndex server) { change(group, server, 1); }
-    /// Takes one away that was added.
-    void remove(const std::string& group, ServerIndex server) { change(group, server, -1); }
-    /// The servers that have members of the group, in the order in which they got the first; may be empty.
+    void add(const std::string& group, ServerIndex server) { change_count(group, server, 1); }
+    /// Removes a member that was added.
+    void remove(const std::string& group, ServerIndex server) { change_count(group, server, -1); }
+    /// Returns the servers with members of the group, in the order in which each got its first. May be empty.
     const std::vector<Members>& servers_of(const std::string& group) const;
     int members_on(const std::string& group, ServerIndex server) const;
     int members_of(const std::string& group) const;
-    /// How many connections this balancer would need before its own counts told how large a group is:
-    /// infinite doubt if no two of many are in one group, near none if most are (Ewens' sampling formula).
+    /// Returns the number of connections that this balancer would need for its own counts to show how large a
+    /// group is (Ewens' sampling formula). It grows without bound with the connections if no two of them are
+    /// in the same group, and is close to 1 if most of many are.
     double size_uncertainty() const;
 
    private:
-    void change(const std::string& group, ServerIndex server, int by);
+    /// Adds `by`, 1 or -1, to the group's members on the server.
+    void change_count(const std::string& group, ServerIndex server, int by);
 
     State state_;
 };
--- a/src/retry/early_reset_rate.h
+++ b/src/retry/early_reset_rate.h
@@ -1,12 +1,12 @@
-/// How many of the connections that were established of late were reset at once.
-/// Overloaded servers drop their newest connections. The policy rejects reconnects at this rate, against
-/// reconnects that keep the servers overloaded after the cause is over.
+/// Measures how many of the recently established connections were reset soon after.
+/// Overloaded servers drop their newest connections. The policy rejects reconnects at this rate, so that
+/// reconnects do not keep the servers overloaded after the cause is over.
 #pragma once
 #include "base/sliding_window.h"
 
 namespace headrouter {
 
-/// Early resets over establishments, both of the last five seconds. Not thread-safe.
+/// Computes the ratio of early resets to established connections in the last five seconds. Not thread-safe.
 class EarlyResetRate {
    public:
     struct State {
@@ -19,14 +19,14 @@
 
     void on_established(TimePoint now) { state_.established.add(now, 1); }
 
-    /// A reset counts only where the connection's attempt was sent within the window: those of older ones say
-    /// nothing of whether new ones hold.
+    /// Counts a reset if the connection's attempt was sent within the window. Resets of older connections do
+    /// not show whether new ones are kept.
     void on_reset(TimePoint now, TimePoint sent_at) {
         if (now - sent_at < window) state_.resets.add(now, 1);
     }
 
-    /// Between 0 and, where establishments have left the window before their resets, a little over 1. Counts
-    /// one more establishment, against judging by a single one.
+    /// Returns the rate: at least 0, and slightly over 1 where establishments have left the window before
+    /// their resets. One establishment is added, so that the rate does not rest on a single connection.
     [[nodiscard]] double rate(TimePoint now) {
         return state_.resets.sum(now) / (state_.established.sum(now) + 1);
     }
--- a/src/retry/retry_budget.h
+++ b/src/retry/retry_budget.h
@@ -1,11 +1,11 @@
-/// A limit to retries of requests that an earlier attempt may have cost a server's work already.
-/// Guards against retry storms, which keep a fleet overloaded after the cause is over.
+/// Limits the retries of requests whose earlier attempts may already have cost a server work.
+/// Prevents retry storms, which keep a fleet overloaded after the cause is over.
 #pragma once
 #include "base/sliding_window.h"
 
 namespace headrouter {
 
-/// Retries as a part of the requests, both of the last five seconds. Not thread-safe.
+/// Limits retries to a fraction of the requests, both counted over the last five seconds. Not thread-safe.
 class RetryBudget {
    public:
     struct State {
@@ -19,15 +19,16 @@
     void on_request(TimePoint now) { state_.requests.add(now, 1); }
     void on_retry(TimePoint now) { state_.retries.add(now, 1); }
 
-    /// Whether one more retry may be sent now.
+    /// Returns whether one more retry may be sent now.
     [[nodiscard]] bool allows_retry(TimePoint now) {
         return state_.retries.sum(now) < min_retries + retry_ratio * state_.requests.sum(now);
     }
 
    private:
-    /// Retries in the window, whatever the traffic: with few requests, they are what shows a failed server.
+    /// Retries allowed in the window regardless of traffic: with few requests, retries are what reveals a
+    /// failed server.
     static constexpr double min_retries = 2;
-    /// Further retries for each request in the window.
+    /// Additional retries allowed for each request in the window.
     static constexpr double retry_ratio = 0.2;
     State state_;
 };
--- a/tests/affinity/test_affinity.cpp
+++ b/tests/affinity/test_affinity.cpp
@@ -1,4 +1,4 @@
-// The tables of failed over keys and of groups.
+// Tests the failover table and the group table.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,7 +12,7 @@
 constexpr TimePoint start{1'000'000'000'000};
 }
 
-TEST(FailoverTable, HasTheLatestServerOfAKeyForHalfAMinute) {
+TEST(FailoverTable, FindsLatestServerOfKeyForThirtySeconds) {
     FailoverTable table;
     table.record(start, "k", ServerIndex{1}, false);
     table.record(start + seconds(1), "k", ServerIndex{2}, true);
@@ -24,16 +24,16 @@
     EXPECT_EQ(table.find(start, "other"), nullptr);
 }
 
-TEST(FailoverTable, ANewEntryOutlivesTheOldOneOfItsKey) {
+TEST(FailoverTable, NewEntryOfKeySurvivesExpiryOfOldOne) {
     FailoverTable table;
     table.record(start, "k", ServerIndex{1}, false);
     table.record(start + seconds(20), "k", ServerIndex{2}, false);
     table.record(start + seconds(31), "other", ServerIndex{3},
-                 false);  // drops what is older than half a minute
+                 false);  // drops entries older than half a minute
     EXPECT_NE(table.find(start + seconds(31), "k"), nullptr);
 }
 
-TEST(FailoverTable, ARequestWithoutAKeyIsNotRecorded) {
+TEST(FailoverTable, RequestWithoutKeyIsNotRecorded) {
     FailoverTable table;
     table.record(start, "", ServerIndex{1}, false);
     EXPECT_EQ(table.find(start, ""), nullptr);
@@ -56,15 +56,15 @@
     EXPECT_EQ(table.members_of("unknown"), 0);
 }
 
-TEST(GroupTable, PairsTellHowLargeGroupsAre) {
+TEST(GroupTable, SizeUncertaintyFallsWithPairsInSameGroup) {
     GroupTable apart;
     GroupTable together;
     for (int k = 0; k < 20; ++k) {
         apart.add("g" + std::to_string(k), ServerIndex{k});
         together.add("g", ServerIndex{k});
     }
-    EXPECT_DOUBLE_EQ(apart.size_uncertainty(), 230);  // 190 pairs of connections, none in one group
-    EXPECT_DOUBLE_EQ(together.size_uncertainty(), 230 / 191.0);  // and all
+    EXPECT_DOUBLE_EQ(apart.size_uncertainty(), 230);  // 190 pairs of connections, none in the same group
+    EXPECT_DOUBLE_EQ(together.size_uncertainty(), 230 / 191.0);  // all 190 in the same group
     for (int k = 0; k < 20; ++k) together.remove("g", ServerIndex{k});
     EXPECT_DOUBLE_EQ(together.size_uncertainty(), 40);
 }
--- a/tests/retry/test_retry.cpp
+++ b/tests/retry/test_retry.cpp
@@ -1,4 +1,4 @@
-// The limits to retries: the budget, and the rate of early resets.
+// Tests the limits of retries: the retry budget and the rate of early resets.
 #include <gtest/gtest.h>
 
 #include "retry/early_reset_rate.h"
@@ -25,7 +25,7 @@
     for (int k = 0; k < 100; ++k) budget.on_request(start);
     int retries = 0;
     for (; retries < 100 && budget.allows_retry(start); ++retries) budget.on_retry(start);
-    EXPECT_EQ(retries, 22);  // with the two that are always allowed
+    EXPECT_EQ(retries, 22);  // including the two that are always allowed
 }
 
 TEST(EarlyResetRate, OnlyResetsOfNewConnectionsCount) {
@@ -34,7 +34,7 @@
     for (int k = 0; k < 9; ++k) rate.on_established(start);
     for (int k = 0; k < 5; ++k) rate.on_reset(start + seconds(1), start);
     EXPECT_EQ(rate.rate(start + seconds(1)), 0.5);
-    rate.on_reset(start + seconds(1), start - seconds(4));  // established a whole window before
+    rate.on_reset(start + seconds(1), start - seconds(4));  // sent a whole window before
     EXPECT_EQ(rate.rate(start + seconds(1)), 0.5);
     EXPECT_EQ(rate.rate(start + seconds(20)), 0);
 }
