--- a/src/policy/attempt_result_recorder.h
+++ b/src/policy/attempt_result_recorder.h
@@ -1,4 +1,4 @@
-/// What the end of an attempt tells of its server and of its request's affinity key.
+/// Records what the end of an attempt shows about its server and about its request's affinity key.
 #pragma once
 #include "affinity/failover_table.h"
 #include "policy/policy_config.h"
@@ -9,19 +9,19 @@
 
 namespace headrouter {
 
-/// How an attempt ended.
+/// The end of an attempt.
 struct AttemptEnd {
-    int number;  ///< of the attempt, from 0
+    int number;  ///< number of the attempt within its request, from 0
     AttemptOutcome outcome;
     bool was_established;
     bool is_final;  ///< the outcome was the answer to the client
 };
 
-/// Records failures of servers, early resets and failovers. Ends that say nothing of the server (completed,
-/// cancelled, not sent) cost it nothing.
+/// Records failures of servers, early resets and failovers of affinity keys. An attempt that was completed,
+/// cancelled or not sent shows nothing about its server and adds no failure penalty.
 class AttemptResultRecorder {
    public:
-    /// All must outlive it.
+    /// Dependencies, which must outlive the recorder.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -36,7 +36,7 @@
           failovers_(parts.failovers),
           early_resets_(parts.early_resets) {}
 
-    /// `request` has the attempt that ended.
+    /// Records the end of an attempt of `request`.
     void record(TimePoint now, const RequestState& request, const AttemptEnd&);
 
    private:
--- a/src/policy/balancing_policy.cpp
+++ b/src/policy/balancing_policy.cpp
@@ -56,7 +56,7 @@
 }
 
 void BalancingPolicy::reconfigure(PolicyConfig config) {
-    config.replica_index = config_.replica_index;  // what was drawn from it stays
+    config.replica_index = config_.replica_index;  // values already derived from the index stay valid
     config_ = std::move(config);
     const bool is_one_of_replicas = config_.replica_index < static_cast<uint64_t>(config_.replica_count);
     config_.gossip_enabled = config_.gossip_enabled && is_one_of_replicas;
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -1,6 +1,6 @@
-/// The policy: every decision of one balancer. This file routes its events to the parts that decide:
+/// Makes every decision of one balancer. This file passes each event to the class that decides on it:
 /// RequestPipeline (requests and their attempts), EndpointUpdater and EndpointTracker (the endpoint list),
-/// RebalanceCycle (migrations), GossipCoordinator (other balancers). docs/architecture.md names the file of
+/// RebalanceCycle (migrations), GossipCoordinator (other balancers). docs/architecture.md lists the file of
 /// each rule.
 #pragma once
 #include <cstdint>
@@ -37,18 +37,18 @@
 
 namespace headrouter {
 
-/// The policy of one balancer. Its host reports each event in the order in which it happens and carries out
-/// the actions that the policy answers with, through PolicyActions. The policy reads no clock and no input of
-/// its own, so the same seed and the same events give the same actions, and any protocol may be put before
-/// it. Not thread-safe: one event at a time.
+/// Decides on the requests and connections of one balancer. The host reports events in the order in which
+/// they happen and carries out the resulting actions, which the policy requests through PolicyActions. The
+/// policy reads neither a clock nor any other input, so that the same seed and the same events give the same
+/// actions, and the policy works with any protocol. Not thread-safe: the host reports one event at a time.
 class BalancingPolicy {
    public:
-    /// All that the policy keeps from one event to the next.
+    /// Everything that the policy keeps between events.
     struct State {
         PolicyConfig config;
         Pcg32::State random;
         RequestTable requests;
-        Duration message_objective;  ///< the shortest of any request class
+        Duration message_objective;  ///< the shortest message objective of any request class
         RetryBudget::State retry_budget;
         EarlyResetRate::State early_resets;
         ServerTable::State servers;
@@ -63,7 +63,7 @@
         RequestQueue::State queue;
     };
 
-    /// Parts of the policy, for explanations and tests. A balancer uses events only.
+    /// Internals of the policy, for diagnostics and tests. A balancer uses only the event functions.
     struct Parts {
         RequestTable& requests;
         ServerTable& servers;
@@ -77,7 +77,7 @@
         RebalanceCycle& rebalance;
     };
 
-    /// `actions` must outlive the policy; its first timers are set from here.
+    /// Sets the first timers through `actions`, which must outlive the policy.
     BalancingPolicy(PolicyConfig, uint64_t seed, PolicyActions& actions, TimePoint now);
     BalancingPolicy(const BalancingPolicy&) = delete;
     BalancingPolicy& operator=(const BalancingPolicy&) = delete;
@@ -85,35 +85,37 @@
     BalancingPolicy& operator=(BalancingPolicy&&) = delete;
     ~BalancingPolicy() = default;
 
-    /// A client's request arrived. Its id must not be in use, its type must be a configured request class.
+    /// Handles a new request. Its id must not be in use, and its type must be a configured request class.
     void on_request(TimePoint, Request);
-    /// A connection established by another process is now this balancer's.
+    /// Takes over a connection that another process established to the given server.
     void on_request_adopted(TimePoint, Request, const ServerId&);
-    /// The client is gone, and with it its request. No effect for an unknown id, as in all events of
-    /// requests.
+    /// Removes a request whose client has disconnected. Like every event of a request, it has no effect if
+    /// the id is unknown.
     void on_client_gone(TimePoint, RequestId);
-    /// The server accepted the attempt of that number (from 0); `took` from its start.
+    /// Records that the server accepted attempt `number` (from 0), `took` after the attempt was started.
     void on_attempt_established(TimePoint, RequestId, int number, Duration took);
-    /// The attempt ended. `is_final`: its outcome was the answer to the client, so nothing more is tried.
+    /// Handles the end of an attempt. `is_final`: the outcome was the answer to the client, so no further
+    /// attempt follows.
     void on_attempt_ended(TimePoint, RequestId, int number, AttemptOutcome, Duration took, bool is_final,
                           const LoadReport&);
-    /// What the established request costs its server, in microseconds of work a second.
+    /// Records the load of an established request on its server, in microseconds of work a second.
     void on_load_report(TimePoint, RequestId, double micros_a_second);
-    /// How long a message last took at a server, in milliseconds. has_server() must be true of it.
+    /// Records the latency of a server's latest message, in milliseconds. No effect if has_server() is false.
     void on_latency_report(TimePoint, const ServerId&, double millis);
-    /// An update of the endpoint list, or that there is none for now.
+    /// Applies an update of the endpoint list, or records that the list is unavailable.
     void on_endpoints(TimePoint, EndpointUpdateKind, const std::vector<Endpoint>&);
-    /// The same request classes in the same places; more may follow. The replica index stays as it was.
+    /// Applies a new configuration. It must have the same request classes at the same indexes, and may add
+    /// further ones. The replica index does not change.
     void reconfigure(PolicyConfig);
-    /// A timer that PolicyActions::set_timer asked for. Unknown tokens have no effect.
+    /// Handles a timer that PolicyActions::set_timer requested. Unknown tokens have no effect.
     void on_timer(TimePoint, uint64_t token);
-    /// A message of another replica. False where it is not understood; nothing is done then.
+    /// Handles a gossip message of another replica. Returns false, without effect, if it cannot be decoded.
     bool on_gossip(TimePoint now, int replica, const std::string& bytes) {
         return gossip_.on_message(now, replica, bytes);
     }
 
     [[nodiscard]] State state() const;
-    /// A policy decides as the one whose state it has. Timers are not part of it.
+    /// Makes this policy decide as the one whose state it is given. Timers are not part of the state.
     void restore(State);
 
     Parts parts() {
@@ -123,16 +125,16 @@
 
     const PolicyConfig& config() const { return config_; }
     bool has_server(const ServerId& id) const { return servers_.find(id).has_value(); }
-    /// Listed servers that would get no new connection now.
+    /// Returns the number of servers in the endpoint list that would get no new attempt now.
     int count_unselectable(TimePoint now) const { return eligibility::count_unselectable(now, servers_); }
 
    private:
-    /// What a latency report says is too much for a server is migrated off within this time.
+    /// Time within which the surplus load found by a latency report is migrated off its server.
     static constexpr Duration slow_server_drain = seconds(0.8);
 
-    /// The request, if it has such an attempt; else null.
+    /// Returns the request if it has an attempt of that number, else null.
     RequestState* find_request(RequestId, int attempt);
-    /// Begins the record of a request that has arrived.
+    /// Adds a new request to the request table.
     RequestState& add_request(Request);
     void migrate_next(TimePoint, ServerIndex server);
 
@@ -140,7 +142,7 @@
     PolicyActions& actions_;
     Pcg32 random_;
     RequestTable requests_;
-    Duration message_objective_;  // the shortest of any request class
+    Duration message_objective_;  // the shortest message objective of any request class
     RetryBudget retry_budget_;
     EarlyResetRate early_resets_;
 
--- a/src/policy/connection_tracker.h
+++ b/src/policy/connection_tracker.h
@@ -1,4 +1,4 @@
-/// Which server each request's connection is at.
+/// Tracks which server each request's connection is at.
 #pragma once
 #include "affinity/group_table.h"
 #include "policy/policy_actions.h"
@@ -7,11 +7,11 @@
 
 namespace headrouter {
 
-/// Keeps a connection's three places in step: its request's record, its server, its affinity group. A
-/// connection is counted from the start of its attempt to its end.
+/// Keeps the three records of a connection consistent: those of its request, its server and its affinity
+/// group. A connection is counted from the start of its attempt to the attempt's end.
 class ConnectionTracker {
    public:
-    /// All must outlive it.
+    /// Dependencies, which must outlive the tracker.
     struct Parts {
         ServerLoads& loads;
         GroupTable& groups;
@@ -21,11 +21,11 @@
     explicit ConnectionTracker(const Parts& parts)
         : loads_(parts.loads), groups_(parts.groups), requests_(parts.requests), actions_(parts.actions) {}
 
-    /// Counts the connection of the request's last attempt, which is at `server`.
+    /// Adds the connection of the request's last attempt, which is at `server`.
     void add(ServerIndex server, RequestState&);
-    /// Takes it away again. No effect where the request has none.
+    /// Removes the request's connection. No effect if the request has none.
     void remove(RequestState&);
-    /// Has the request's client come back, and forgets the request.
+    /// Migrates the request's connection: its client will reconnect, and the request is removed.
     void migrate(RequestState&);
 
    private:
--- a/src/policy/eligibility.h
+++ b/src/policy/eligibility.h
@@ -1,15 +1,16 @@
-/// Whether anything new may be sent to a server. Each part of the question has a name of its own:
+/// Determines whether new requests may be sent to a server. The checks, from the widest to the strictest:
 ///
-/// - `takes_new_requests`: its endpoint is active in the endpoint list. Asked for sums over all servers.
-/// - `is_selectable`: that, and its failures let it have an attempt now. Asked for shares (panic mode leaves
-///   failures aside) and for the first choice of a group's ranking.
-/// - `FairShares::is_candidate`: active, not where the last attempt failed (panic mode leaves that aside),
-///   within the deduplication scope. Asked for shares and for placement.
-/// - `FairShares::may_take`: a candidate, selectable (except in panic mode), and with a warm-up permit where
-///   it is cold (`WarmupAdmission`). Asked for placement.
-/// - `Placement::has_room`: may take it, and its share and its load limit allow it. Asked for placement.
+/// - `takes_new_requests`: its endpoint is active in the endpoint list. Used for sums over all servers.
+/// - `is_selectable`: it is active, and its recent failures allow an attempt now. Used for shares (panic mode
+///   ignores failures) and for the first choice of a group's ranking.
+/// - `FairShares::is_candidate`: it is active, is not where the last attempt failed (ignored in panic
+///   mode), and is within the deduplication scope. Used for shares and for placement.
+/// - `FairShares::may_take`: it is a candidate, is selectable (except in panic mode) and, if it is cold, has
+///   a warm-up permit (`WarmupAdmission`). Used for placement.
+/// - `Placement::has_room`: it may take the request, and its share and its load limit allow that. Used for
+///   placement.
 ///
-/// The router asks its endpoint table once more before the first byte goes out (`AttemptHandler::may_send`).
+/// The router checks its endpoint table again before it sends the first byte (`AttemptHandler::may_send`).
 #pragma once
 #include "base/time.h"
 #include "policy/server_table.h"
@@ -17,13 +18,13 @@
 
 namespace headrouter::eligibility {
 
-/// Whether the endpoint list lets new requests go to a server in this state.
+/// Returns whether a server in this state of the endpoint list takes new requests.
 constexpr bool takes_new_requests(EndpointState state) { return state == EndpointState::active; }
 
-/// Whether the server may get a new attempt, as far as its own state goes.
+/// Returns whether the server's own state (endpoint state and failures) allows a new attempt now.
 bool is_selectable(TimePoint now, const ServerState&);
 
-/// How many servers of the endpoint list, active or draining, would get no new attempt now.
+/// Returns how many servers in the endpoint list, active or draining, would get no new attempt now.
 int count_unselectable(TimePoint now, const ServerTable&);
 
 }  // namespace headrouter::eligibility
--- a/src/policy/endpoint_tracker.cpp
+++ b/src/policy/endpoint_tracker.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Parts of the pause, its jitter: balancers that failed together must not ask together again.
-constexpr double least_pause_part = 0.75;
-constexpr double random_pause_part = 0.5;
+// Jitter, as factors of the pause: balancers whose watches failed together must not retry together.
+constexpr double min_pause_factor = 0.75;
+constexpr double random_pause_factor = 0.5;
 
 }  // namespace
 
@@ -36,10 +36,10 @@
     state_.is_watching = false;
     if (config_.polls_endpoints) {
         const Duration pause =
-            state_.retry_pause * (least_pause_part + random_pause_part * random_.uniform());
+            state_.retry_pause * (min_pause_factor + random_pause_factor * random_.uniform());
         actions_.set_timer(now + pause, timer_token(TimerKind::retry_watch));
     }
-    state_.retry_pause = std::min(state_.retry_pause * 2, longest_retry_pause);
+    state_.retry_pause = std::min(state_.retry_pause * 2, max_retry_pause);
 }
 
 }  // namespace headrouter
--- a/src/policy/endpoint_updater.cpp
+++ b/src/policy/endpoint_updater.cpp
@@ -19,7 +19,7 @@
     const ServerTable::Applied applied = servers_.apply(endpoint);
     if (applied.is_new) gossip_.add_server(endpoint.server, applied.server);
     const bool starts = applied.is_restarted || (applied.is_new && endpoint.launched);
-    // A launch time ahead of this clock would keep the server cold until then.
+    // A launch time ahead of this balancer's clock would keep the server cold until that time.
     if (starts) health_.begin_slow_start(now, applied.server, std::min(*endpoint.launched, now));
     if (applied.is_restarted) replace_process(applied.server);
     return applied.server;
--- a/src/policy/endpoint_updater.h
+++ b/src/policy/endpoint_updater.h
@@ -1,4 +1,4 @@
-/// What an endpoint update changes in the policy.
+/// Applies endpoint updates to the policy.
 #pragma once
 #include <vector>
 
@@ -11,11 +11,11 @@
 
 namespace headrouter {
 
-/// Takes over endpoint lists: new and restarted servers begin slow start, and those that a whole list does
-/// not name are removed.
+/// Applies endpoint lists and deltas: new and restarted servers begin slow start, and servers that are
+/// missing from a whole list are removed.
 class EndpointUpdater {
    public:
-    /// All must outlive it.
+    /// Dependencies, which must outlive the updater.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -34,13 +34,13 @@
           connections_(parts.connections),
           requests_(parts.requests) {}
 
-    /// One update, `is_whole_list` unless it is a delta.
+    /// Applies one update. `is_whole_list`: false for a delta.
     void apply_update(TimePoint now, const std::vector<Endpoint>&, bool is_whole_list);
-    /// One endpoint. Returns the server's index.
+    /// Applies one endpoint. Returns the server's index.
     ServerIndex apply(TimePoint now, const Endpoint&);
 
    private:
-    /// Forgets what was known of the server's last process, and migrates the connections that were at it.
+    /// Clears the records of the server's previous process, and migrates the connections to that process.
     void replace_process(ServerIndex server);
 
     const PolicyConfig& config_;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// Servers tried at random before all are looked at: a pass over a large fleet for each request costs more.
+/// Servers tried at random before all are examined: a pass over a large fleet for each request costs more.
 constexpr int random_tries = 16;
-/// Servers tried that have headroom over all balancers, before the own share decides.
-constexpr int headroom_tries = 3;
-
-/// How many times its share a server may have for a group, by the own counts and by those of all balancers.
-constexpr double own_slack = 1.25;
-constexpr double fleet_slack = 3;
-/// How many connections like the request's it may have on top, likewise.
-constexpr double own_room = 2;
-constexpr double fleet_room = 8;
-/// The most that the own counts weigh against those of all balancers, in parts of what they allow.
-constexpr double most_own_use = 2;
-
-/// How much larger than a group's part of the load its preferred servers' shares are.
-constexpr double preferred_margin = 1.3;
-
-/// In place of a share or weight of zero that is divided by.
+/// Servers with published headroom that are tried before this balancer's own shares decide.
+constexpr int max_headroom_tries = 3;
+
+/// Multiple of its share that a server may have in load when it serves a group, by this balancer's own counts
+/// and by those of all balancers.
+constexpr double own_share_multiple = 1.25;
+constexpr double fleet_share_multiple = 3;
+/// Additional connections like the request's that the server may have, by the same two counts.
+constexpr double own_extra_connections = 2;
+constexpr double fleet_extra_connections = 8;
+/// Upper bound of own_utilization() where it is weighed against fleet_utilization().
+constexpr double max_own_utilization = 2;
+
+/// Ratio of the preferred servers' shares to the group's part of the load.
+constexpr double preferred_share_margin = 1.3;
+
+/// Lower bound of divisors that may be zero (shares and weights).
 constexpr double epsilon = 1e-9;
 
-/// The load of a connection like the request's, which counts as a mean one at least.
+/// Returns the load of a connection like the request's, at least that of a mean connection.
 double connection_load(const PlacementContext& context) { return std::max(1.0, context.load); }
 
 }  // namespace
@@ -38,7 +39,7 @@
     for (const FleetView::DegradedServer& degraded : context.fleet.degraded) {
         const ServerState& server = servers_[degraded.server];
         const bool has_permit = degraded.is_open && warmup_.is_cold(context.now, server);
-        // From a share of the request's load on, the server is drawn like all others.
+        // A server whose share is at least the request's load is drawn at random like all others.
         if (!has_permit || degraded.share >= context.load) continue;
         if (degraded.server == context.failed_server || is_slow(context, degraded.server)) continue;
         if (!first || server.subset_draw < servers_[*first].subset_draw) first = degraded.server;
@@ -70,14 +71,16 @@
 std::optional<ServerIndex> Placement::choose_by_headroom(const PlacementContext& context) {
     const bool is_new = !context.request.is_reconnect && !context.failed_server;
     if (!config_.aggregates_fleet_load || !is_new) return std::nullopt;
-    for (int tries = 0; tries < headroom_tries; ++tries) {
+    for (int tries = 0; tries < max_headroom_tries; ++tries) {
         const std::optional<ServerIndex> picked = gossip_.pick_by_headroom(context.now, random_.uniform());
         if (!picked) return std::nullopt;
         if (!is_open(context, *picked) || is_slow(context, *picked)) continue;
-        // Headroom is by listed weight. A server that is cold or failing gets the part that it has here.
-        const double sound_share = context.fleet.share_per_weight * servers_[*picked].weight;
-        const double ready_part = shares_.share(context.fleet, *picked) / std::max(sound_share, epsilon);
-        if (random_.uniform() < ready_part) return picked;
+        // Headroom is computed by listed weight. A cold or failing server is accepted only with the
+        // probability of its share here over its full share.
+        const double full_share = context.fleet.share_per_weight * servers_[*picked].weight;
+        const double available_fraction =
+            shares_.share(context.fleet, *picked) / std::max(full_share, epsilon);
+        if (random_.uniform() < available_fraction) return picked;
     }
     return std::nullopt;
 }
@@ -92,9 +95,9 @@
         if (is_group && is_probably_slow(context, *server)) return std::nullopt;
         return server;
     }
-    // Where much of the fleet is slow, a group that spreads beyond its slow preferred servers takes room from
-    // all others.
-    if (preferred.slow > 0 && context.fleet.is_mostly_slow) return std::nullopt;
+    // While much of the fleet is slow, a group that spreads beyond its slow preferred servers would take
+    // capacity from all other requests.
+    if (preferred.at_load_limit > 0 && context.fleet.is_mostly_slow) return std::nullopt;
     if (context.gossip_trust > 0)
         if (const auto elsewhere = choose_with_members(context, ranking, true)) return elsewhere;
     for (size_t rank = preferred.end; rank < ranking.order.size(); ++rank)
@@ -131,13 +134,13 @@
         const ServerIndex index = ranking.order[preferred.end];
         if (!is_open(context, index)) continue;
         const double share = shares_.share(context.fleet, index);
-        // Of a server that the rest of the group fills in part, as large a part of all balancers has it among
-        // the preferred ones.
-        const double least_load = share * std::exp(-servers_[index].subset_draw);
-        if (!is_first && load_left < least_load) break;
+        // The rest of the group may fill this server only in part. The random draw then makes it a preferred
+        // server at the same fraction of all balancers.
+        const double min_load = share * std::exp(-servers_[index].subset_draw);
+        if (!is_first && load_left < min_load) break;
         is_first = false;
         load_left -= share;
-        if (is_slow(context, index)) ++preferred.slow;
+        if (is_slow(context, index)) ++preferred.at_load_limit;
         if (!has_room(context, index, true)) continue;
         if (!is_group) return index;
         if (!best || subset_rank(index) < subset_rank(*best)) best = index;
@@ -146,10 +149,10 @@
 }
 
 double Placement::expected_group_load(const PlacementContext& context) const {
-    // Members count as one mean load unit each.
+    // Each member counts as one mean load unit.
     const double members = context.load + groups_.members_of(context.request.group);
     const double total = context.fleet.total_load;
-    return preferred_margin * members * total / (total + groups_.size_uncertainty());
+    return preferred_share_margin * members * total / (total + groups_.size_uncertainty());
 }
 
 std::optional<ServerIndex> Placement::choose_least_over_share(
@@ -162,18 +165,19 @@
                                                               const fleet_load::RendezvousRanking* ranking,
                                                               bool allows_mild) const {
     std::optional<ServerIndex> least;
-    double least_use = 0;
+    double least_utilization = 0;
     for (const ServerIndex index : servers_.indexes()) {
         const ServerState& server = servers_[index];
         const bool is_allowed_slow = allows_mild && server.load_limit.is_mild();
         if (!is_open(context, index) || (is_slow(context, index) && !is_allowed_slow)) continue;
-        // What a connection counts here: by the group's draw, else by this balancer's.
+        // Scales the request's load: by the group's draw for the server or, without a ranking, by this
+        // balancer's subset draw.
         const double draw = ranking ? ranking->score_of(index) * server.weight : server.subset_draw;
         const double share = std::max(shares_.share(context.fleet, index), epsilon);
-        const double use = (loads_.load_on(server) + draw * context.load) / share;
-        if (least && !(use < least_use)) continue;
+        const double utilization = (loads_.load_on(server) + draw * context.load) / share;
+        if (least && !(utilization < least_utilization)) continue;
         least = index;
-        least_use = use;
+        least_utilization = utilization;
     }
     return least;
 }
@@ -186,28 +190,31 @@
     const double load = loads_.load_on(server);
     if (!in_group) return load + server.subset_draw * context.load <= share;
     if (context.gossip_trust > 0) return has_room_in_fleet(context, server, share);
-    return load + context.load <= share * own_slack + own_room * connection_load(context);
+    return load + context.load <=
+           share * own_share_multiple + own_extra_connections * connection_load(context);
 }
 
 bool Placement::has_room_in_fleet(const PlacementContext& context, const ServerState& server,
                                   double share) const {
     const double trust = context.gossip_trust;
-    const double own = std::min(own_use(context, server, share), most_own_use);
-    return trust * fleet_use(context, server, share) + (1 - trust) * own <= 1;
+    const double own = std::min(own_utilization(context, server, share), max_own_utilization);
+    return trust * fleet_utilization(context, server, share) + (1 - trust) * own <= 1;
 }
 
-double Placement::own_use(const PlacementContext& context, const ServerState& server, double share) const {
+double Placement::own_utilization(const PlacementContext& context, const ServerState& server,
+                                  double share) const {
     const double load = loads_.load_on(server) + context.load;
-    const double beyond_room = load - own_room * connection_load(context);
-    return beyond_room / std::max(share * own_slack, epsilon);
+    const double load_above_extra = load - own_extra_connections * connection_load(context);
+    return load_above_extra / std::max(share * own_share_multiple, epsilon);
 }
 
-double Placement::fleet_use(const PlacementContext& context, const ServerState& server, double share) const {
-    // The published load, with this balancer's part as it is now.
+double Placement::fleet_utilization(const PlacementContext& context, const ServerState& server,
+                                    double share) const {
+    // The published load, with this balancer's part updated to its current load.
     const double load = server.fleet_load + loads_.load_on(server) - server.own_load_then + context.load;
-    const double beyond_room = load - fleet_room * connection_load(context);
+    const double load_above_extra = load - fleet_extra_connections * connection_load(context);
     const double share_of_fleet = share / std::max(context.fleet.total_load, epsilon) * gossip_.fleet_total();
-    return beyond_room / std::max(share_of_fleet * fleet_slack, epsilon);
+    return load_above_extra / std::max(share_of_fleet * fleet_share_multiple, epsilon);
 }
 
 bool Placement::is_open(const PlacementContext& context, ServerIndex index) const {
@@ -225,8 +232,8 @@
     const ServerState& server = servers_[index];
     const bool has_limit =
         server.degraded_index && context.fleet.degraded[*server.degraded_index].load_limit.has_value();
-    const bool is_heard = !server.connections.empty() || has_limit;
-    return !is_heard && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_part;
+    const bool reports_latency = !server.connections.empty() || has_limit;
+    return !reports_latency && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_part;
 }
 
 }  // namespace headrouter
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -1,4 +1,4 @@
-/// Placement: which server gets a request's next attempt.
+/// Chooses the server for a request's next attempt.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,23 +11,24 @@
 
 namespace headrouter {
 
-/// One request to place, and the fleet as it is for it.
+/// Holds a request to place and the state of the fleet at that time.
 struct PlacementContext {
     TimePoint now;
     const RequestState& request;
     const FleetView& fleet;
-    double load = 0;  ///< of the request, in mean load units
-    /// Failed the request's key a moment ago, if the request comes back in the pause of the cycle.
+    double load = 0;  ///< load of the request, in mean load units
+    /// The server that recently failed the request's key, if the request arrives in the pause of the
+    /// rebalance cycle.
     std::optional<ServerIndex> failed_server;
-    double gossip_trust = 0;  ///< in the fleet's load as published, 0 to 1
+    double gossip_trust = 0;  ///< trust in the fleet load that gossip publishes, 0 to 1
 };
 
-/// Chooses servers; changes nothing but the state of `random` and what the rankings keep.
+/// Chooses servers. Changes no state but that of `random` and the rankings that are cached.
 ///
-/// "No server" means that the request is better rejected: more would serve nobody.
+/// If no server is returned, the request should be rejected: the servers could not serve further load.
 class Placement {
    public:
-    /// The parts it looks at, which must outlive it.
+    /// Dependencies, which must outlive the placement.
     struct Parts {
         const PolicyConfig& config;
         const ServerTable& servers;
@@ -50,70 +51,81 @@
           gossip_(parts.gossip),
           random_(parts.random) {}
 
-    /// A cold server for which this balancer has a warm-up permit, to be used before all others; none:
-    /// choose() decides. Permits for a cold server go round among all balancers. Were the server drawn like
-    /// all others, the few that have a permit would hardly ever draw it, and it would stay cold.
+    /// Returns a cold server for which this balancer has a warm-up permit. Such a server goes before all
+    /// others; if there is none, choose() decides. The permits for a cold server rotate among all balancers.
+    /// If the server were drawn at random like any other, the few balancers that have a permit would hardly
+    /// ever draw it, and it would stay cold.
     std::optional<ServerIndex> choose_cold(const PlacementContext&) const;
-    /// The server for the request. Where packets pass through, a key is ranked like a group, so that another
-    /// balancer sends its packets to the same server.
+    /// Returns the server for the request. In passthrough mode, an affinity key is ranked like a group, so
+    /// that every balancer sends the key's packets to the same server.
     std::optional<ServerIndex> choose(const PlacementContext&);
-    /// Whether the server has room for the request; `in_group`: with a group's members, which go further.
+    /// Returns whether the server has room for the request. `in_group`: by the limit for members of a group,
+    /// who may exceed the share.
     bool has_room(const PlacementContext&, ServerIndex, bool in_group) const;
-    /// Of two servers, the one with the lower draw for its weight is this balancer's before the other.
+    /// Returns the server's subset draw divided by its weight. Of two servers, this balancer prefers the one
+    /// with the lower rank.
     double subset_rank(ServerIndex server) const {
         return servers_[server].subset_draw / servers_[server].weight;
     }
 
    private:
-    /// The first servers of a group's ranking, whose shares together hold the group.
+    /// The first servers of a group's ranking, whose shares together have room for the group.
     struct PreferredServers {
-        size_t end = 0;  ///< of their part of the ranking's order
-        int slow = 0;    ///< how many of them are at their load limits
+        size_t end = 0;         ///< index in the ranking's order after the last of them
+        int at_load_limit = 0;  ///< number of them that are at their load limits
     };
 
-    /// Random among the servers below share, else the least over. A share under one connection is below it
-    /// for a whole connection by chance: the subset draw keeps the sum over all balancers right.
+    /// Returns a random server among those that are below their shares, else the server that would be least
+    /// over its share. Where a share is less than one connection, the subset draw decides whether the server
+    /// takes a whole connection, which keeps the total over all balancers correct.
     std::optional<ServerIndex> choose_at_random(const PlacementContext&);
-    /// For a new request, by the headroom that is published.
+    /// Returns a server for a new request by the published headroom, if there is one.
     std::optional<ServerIndex> choose_by_headroom(const PlacementContext&);
 
-    /// Members of a group share work on the server that has them, and balancers share nothing, so a group's
-    /// ranking is drawn from its name: every balancer draws the same. By preference: servers that have the
-    /// group, as its work is there anyway; its preferred servers; any other with room.
+    /// Returns a server for a member of a group. Members share work on the server they are at, so the group
+    /// should be on few servers. Balancers share no state, so each derives the group's ranking of the servers
+    /// from the group's name, and all get the same ranking. Order of preference: servers that have members of
+    /// the group, since the shared work is done there already; the group's preferred servers; any other
+    /// server with room.
     std::optional<ServerIndex> choose_for_group(const PlacementContext&, const std::string& ranking_name);
-    /// The ranking's first servers whose shares hold the group's part of this balancer's load.
+    /// Returns a server with room among the preferred servers: the first ones of the ranking whose shares
+    /// together have room for the group's part of this balancer's load. Sets the PreferredServers.
     std::optional<ServerIndex> choose_preferred(const PlacementContext&, const fleet_load::RendezvousRanking&,
                                                 PreferredServers&) const;
-    /// The part of this balancer's load that the group should be given room for, in mean load units. A
-    /// balancer that has few connections cannot tell what part of all belongs to a group.
+    /// Returns the part of this balancer's load that the group's preferred servers should have room for, in
+    /// mean load units. A balancer with few connections cannot tell what part of all is in a group.
     double expected_group_load(const PlacementContext&) const;
-    /// The best ranked of the servers that have the group's members; only near ones unless `all_zones`.
+    /// Returns the best ranked server with room among those that have members of the group; unless
+    /// `all_zones`, only servers in near zones.
     std::optional<ServerIndex> choose_with_members(const PlacementContext&,
                                                    const fleet_load::RendezvousRanking&,
                                                    bool all_zones) const;
 
-    /// The server that would be the least over its share, if one is not slow. Where messages take long by
-    /// themselves, a server reports latencies that load has no part in: such a mild one comes last, but
-    /// before a reject.
+    /// Returns the server that would be least over its share, among servers below their load limits. Where
+    /// messages take long regardless of load, a server reports latencies that its load does not cause. A
+    /// server with such a mild load limit is chosen only if there is no other, instead of a reject.
     std::optional<ServerIndex> choose_least_over_share(const PlacementContext&,
                                                        const fleet_load::RendezvousRanking*) const;
     std::optional<ServerIndex> choose_least_over_share(const PlacementContext&,
                                                        const fleet_load::RendezvousRanking*,
                                                        bool allows_mild) const;
 
-    /// By what all balancers have there, as far as that is trusted, and by the own counts.
+    /// Returns whether the server has room for a member of a group, by the loads of all balancers as far as
+    /// they are trusted, and by this balancer's own load for the rest.
     bool has_room_in_fleet(const PlacementContext&, const ServerState&, double share) const;
-    /// The own load, over what the own counts allow a group there.
-    double own_use(const PlacementContext&, const ServerState&, double share) const;
-    /// The load of all balancers, over what their counts allow a group there.
-    double fleet_use(const PlacementContext&, const ServerState&, double share) const;
+    /// Returns this balancer's load on the server, as a fraction of what its own counts allow for a group.
+    double own_utilization(const PlacementContext&, const ServerState&, double share) const;
+    /// Returns the load of all balancers on the server, as a fraction of what their counts allow for a group.
+    double fleet_utilization(const PlacementContext&, const ServerState&, double share) const;
 
+    /// Returns whether the server may take the request, see FairShares::may_take.
     bool is_open(const PlacementContext&, ServerIndex) const;
-    /// Whether the request would put the server above its load limit.
+    /// Returns whether the request would put the server above its load limit.
     bool is_slow(const PlacementContext&, ServerIndex) const;
-    /// A server on which this balancer has nothing reports nothing to it: it is taken to be as likely slow as
-    /// those that are heard of. Otherwise, with hundreds of balancers, what one migrates off a slow server
-    /// another brings back.
+    /// Returns whether to treat the server as slow although it may not have reported latency. A server on
+    /// which this balancer has no connections reports nothing to it, so the server is taken to be slow with
+    /// the probability found among the servers that do report. Otherwise, with hundreds of balancers,
+    /// connections that one balancer migrates off a slow server are placed there again by another.
     bool is_probably_slow(const PlacementContext&, ServerIndex);
 
     const PolicyConfig& config_;
--- a/src/policy/policy_actions.h
+++ b/src/policy/policy_actions.h
@@ -1,4 +1,4 @@
-/// What the policy decides, as calls to whoever hosts it.
+/// The policy's decisions, as calls to its host.
 #pragma once
 #include <string>
 
@@ -6,24 +6,24 @@
 
 namespace headrouter {
 
-/// `replica` of send_gossip: all balancers but this one.
+/// Value of `replica` in PolicyActions::send_gossip: all balancers but this one.
 constexpr int all_other_replicas = -1;
 
-/// Carries the policy's decisions out. Called from within the policy's events, never at another time.
+/// Carries out the policy's decisions. Called only while the policy handles an event.
 class PolicyActions {
    public:
     virtual ~PolicyActions() = default;
     /// Sends the request's next attempt to the server, and cancels it when `timeout` has passed.
     virtual void start_attempt(RequestId, const ServerId&, Duration timeout) = 0;
-    /// Answers that nothing was done and may be tried again; `retry_after` zero: without advice when.
+    /// Answers that the request was not executed and may be retried, after `retry_after` unless that is zero.
     virtual void reject(RequestId, Duration retry_after) = 0;
     /// Answers that the request failed, and that it may have run.
     virtual void fail(RequestId) = 0;
-    /// Ends an established connection so that its client comes back and is placed anew.
+    /// Ends an established connection so that its client reconnects and is placed again.
     virtual void migrate(RequestId) = 0;
-    /// Asks for on_timer with this token at this time, or at once where that has passed.
+    /// Requests a call of on_timer with this token at this time, or at once if the time has passed.
     virtual void set_timer(TimePoint, uint64_t token) = 0;
-    /// Asks for the endpoint list and for each change of it.
+    /// Requests the endpoint list and each later change of it.
     virtual void watch_endpoints() = 0;
     /// Sends a message to the balancer with that replica index, or to `all_other_replicas`.
     virtual void send_gossip(int replica, const std::string& bytes) = 0;
--- a/src/policy/policy_config.cpp
+++ b/src/policy/policy_config.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Longer than any message may take.
+// Stands for no message objective: longer than any message takes.
 constexpr Duration no_objective = seconds(1000);
 
 }  // namespace
--- a/src/policy/rendezvous_rankings.h
+++ b/src/policy/rendezvous_rankings.h
@@ -1,4 +1,4 @@
-/// Rendezvous hashing: for each affinity group (or key) an order of the servers that all balancers share.
+/// Rendezvous hashing: ranks the servers for each affinity group (or key), alike at every balancer.
 #pragma once
 #include <string>
 #include <unordered_map>
@@ -9,20 +9,20 @@
 
 namespace headrouter {
 
-/// Keeps the rankings of names in use.
+/// Caches the rankings of the group names and keys in use.
 class RendezvousRankings {
    public:
-    /// By name; looked up only: in no order.
+    /// Rankings by name. Unordered, since they are only looked up.
     using State = std::unordered_map<std::string, fleet_load::RendezvousRanking>;
 
     [[nodiscard]] const State& state() const { return rankings_; }
     void restore(State state) { rankings_ = std::move(state); }
 
-    /// The name's ranking of all servers. Valid until the next call.
+    /// Returns the name's ranking of all servers. The reference is valid until the next call.
     const fleet_load::RendezvousRanking& ranking_for(const std::string& name, const ServerTable&);
 
    private:
-    static constexpr size_t most_names = 4096;
+    static constexpr size_t max_names = 4096;
     State rankings_;
 };
 
--- a/src/policy/request_pipeline.cpp
+++ b/src/policy/request_pipeline.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// The timeout of an attempt that another one could follow.
-constexpr double timeout_per_setup_objective = 0.6;
+// Bounds of the timeout of an attempt that another one may follow: fractions of the setup objective and of
+// the time left before the deadline.
+constexpr double max_timeout_per_setup_objective = 0.6;
 constexpr double max_timeout_per_time_left = 0.5;
 
 template <class... Handlers>
@@ -93,9 +94,9 @@
     if (fleet.open_servers == 0) return {PickResult::Queue{}};
 
     const double load = loads_.load_of(request);
-    const bool is_back_in_pause = failover && !failover->is_parked && cycle_clock::is_paused(now);
+    const bool arrives_in_pause = failover && !failover->is_parked && cycle_clock::is_paused(now);
     std::optional<ServerIndex> failed_server;
-    if (is_back_in_pause) failed_server = failover->server;
+    if (arrives_in_pause) failed_server = failover->server;
     const PlacementContext context{now, request, fleet, load, failed_server, gossip_.trust(now)};
     if (const auto cold = placement_.choose_cold(context)) return {PickResult::Complete{*cold}};
 
@@ -105,7 +106,7 @@
 
     const double load_then = loads_.load_on(servers_[*server]) + load;
     const double share = shares_.share(fleet, *server);
-    request.is_protected = is_back_in_pause && load_then > share * RebalanceCycle::saturation_band;
+    request.is_protected = arrives_in_pause && load_then > share * RebalanceCycle::saturation_band;
     return {PickResult::Complete{*server}};
 }
 
@@ -151,7 +152,7 @@
     const bool is_last = attempts >= config_.max_attempts || !retry_budget_.allows_retry(now);
     if (is_last) return left;
     const Duration objective = config_.request_classes[request.type].setup_objective;
-    return std::min(objective * timeout_per_setup_objective, left * max_timeout_per_time_left);
+    return std::min(objective * max_timeout_per_setup_objective, left * max_timeout_per_time_left);
 }
 
 void RequestPipeline::on_attempt_ended(TimePoint now, RequestState& request, const AttemptEnd& end) {
--- a/src/policy/request_pipeline.h
+++ b/src/policy/request_pipeline.h
@@ -1,5 +1,5 @@
-/// The way of a request through the policy: deadline, retry rules, placement, then an attempt, the queue or
-/// the answer to its client.
+/// Takes a request through the steps of the policy: deadline, retry rules, placement, then an attempt, the
+/// queue or the answer to its client.
 #pragma once
 #include <variant>
 
@@ -21,29 +21,29 @@
 
 namespace headrouter {
 
-/// What is done with a request now.
+/// The next step for a request.
 struct PickResult {
-    /// Its next attempt goes to this server.
+    /// The next attempt goes to this server.
     struct Complete {
         ServerIndex server;
     };
-    /// No server may take it: tried again while its deadline allows.
+    /// No server may take the request: it waits and is tried again while its deadline allows.
     struct Queue {};
-    /// Its client may ask again, after `retry_after` where that is not zero.
+    /// The client may retry, after `retry_after` unless that is zero.
     struct Reject {
         Duration retry_after;
     };
-    /// It may have run, and must not run again.
+    /// The request may have run and must not run again.
     struct Fail {};
 
     std::variant<Complete, Queue, Reject, Fail> result;
 };
 
-/// Takes requests and the ends of their attempts. A request that still owes its client an answer after an
-/// attempt goes through all steps again.
+/// Handles requests and the ends of their attempts. A request whose client has no answer after an attempt
+/// goes through all steps again.
 class RequestPipeline {
    public:
-    /// All must outlive it.
+    /// Dependencies, which must outlive the pipeline.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -64,30 +64,35 @@
     };
     explicit RequestPipeline(const Parts&);
 
-    /// Starts the request's next attempt, queues the request or answers it. An answered request is gone.
+    /// Starts the request's next attempt, queues the request or answers it. An answered request is removed
+    /// from the request table.
     void run(TimePoint now, RequestState&);
-    /// Runs what was queued, when the queue's timer rings.
+    /// Runs the queued requests when the queue's timer expires.
     void run_queued(TimePoint now);
-    /// The attempt, which was pending or established, has ended, and its connection is no longer counted. The
-    /// request is gone where that was final or its answer followed.
+    /// Handles the end of a pending or established attempt whose connection is no longer counted. The request
+    /// is removed if that end was final or if the request is answered now.
     void on_attempt_ended(TimePoint now, RequestState&, const AttemptEnd&);
 
    private:
+    /// Decides the next step for the request.
     PickResult pick(TimePoint now, RequestState&);
-    /// Whether a further attempt is allowed: by number, by the retry budget and by retry_policy.
+    /// Returns whether the number of attempts, the retry budget and retry_policy allow a further attempt.
     bool may_attempt(TimePoint now, const RequestState&);
-    /// A server for the next attempt, see Placement.
+    /// Chooses a server for the next attempt, see Placement.
     PickResult place(TimePoint now, RequestState&);
-    /// The answer where nothing more is tried.
+    /// Returns the answer if no further attempt follows.
     PickResult give_up(const RequestState&);
+    /// Starts the request's next attempt at the server.
     void dispatch(TimePoint now, RequestState&, ServerIndex server);
 
-    /// A resumed stream goes to the server that still has its connection, also while that one drains.
+    /// Returns whether the request resumes a stream whose server still has its connection. The request then
+    /// goes to that server, even if it is draining.
     bool is_parked_at_server(TimePoint now, const RequestState&, const FailoverTable::Entry*) const;
-    /// Whether to reject a reconnect because much of what is established is reset at once, see
-    /// EarlyResetRate. Draws one number where the balancer is too small to see which servers hold.
+    /// Returns whether to reject a reconnect because many new connections are reset soon after they are
+    /// established, see EarlyResetRate. Rejects, and draws a random number, only where this balancer has less
+    /// than one mean connection for each server and so cannot see which servers keep theirs.
     bool is_shed_as_reconnect(TimePoint now, const RequestState&, const FleetView&);
-    /// How long the next attempt may take.
+    /// Returns how long the next attempt may take.
     Duration attempt_timeout(TimePoint now, const RequestState&);
 
     const PolicyConfig& config_;
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -1,4 +1,4 @@
-/// Requests that wait until a server may take them.
+/// Holds requests until a server may take them.
 #pragma once
 #include <deque>
 #include <utility>
@@ -10,25 +10,26 @@
 
 namespace headrouter {
 
-/// Queued requests in the order in which they came, and the timer by which all of them are tried again.
+/// Queues requests in order of arrival, and sets the timer after which all of them are tried again.
 class RequestQueue {
    public:
     struct State {
         std::deque<RequestId> waiting;
-        bool has_timer = false;  ///< the timer by which the waiting requests are looked at again is set
+        bool has_timer = false;  ///< the timer after which the waiting requests are tried again is set
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// Both must outlive it.
+    /// Both arguments must outlive the queue.
     RequestQueue(const PolicyConfig& config, PolicyActions& actions) : config_(config), actions_(actions) {}
 
-    /// Whether the request would be tried again before its deadline.
+    /// Returns whether the request would be tried again before its deadline.
     bool has_time_for(TimePoint now, const RequestState&) const;
-    /// Queues the request. Sets the timer, unless it is set.
+    /// Queues the request, and sets the timer unless it is already set.
     void add(TimePoint now, RequestState&);
-    /// The timer rang: empties the queue. Some of the requests may be gone or queued no longer.
+    /// Empties the queue after its timer has expired, and returns the requests' ids. Some of the requests may
+    /// have been removed or may no longer be queued.
     std::deque<RequestId> take_all();
 
    private:
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -1,4 +1,4 @@
-/// What the policy notes of a request until its client is gone.
+/// The policy's record of a request, kept until the request ends or its client disconnects.
 #pragma once
 #include <optional>
 #include <unordered_map>
@@ -10,27 +10,26 @@
 
 namespace headrouter {
 
-/// One try of a request at one server.
+/// One attempt of a request at one server.
 struct Attempt {
     ServerIndex server;
     TimePoint sent;
     bool pending = false;      ///< sent, and neither established nor ended
-    bool established = false;  ///< and not ended
+    bool established = false;  ///< established, and not ended
 };
 
-/// A request as asked for, with the policy's record of it. It has one pending or established attempt at a
-/// time, the last one.
+/// A client's request with the policy's record of it. Only the last attempt may be pending or established.
 struct RequestState : Request {
     RequestState() = default;
     explicit RequestState(Request request) : Request(std::move(request)) {}
 
     std::vector<Attempt> attempts;
-    std::optional<int> may_have_run;  ///< the first attempt of which it is not known that it never ran
-    std::optional<ServerIndex> chosen_server;  ///< where the pipeline has placed the latest attempt
-    std::optional<int> connection_index;       ///< among its server's connections, while it is one of them
-    std::optional<double> load;                ///< as reported, in microseconds a second
-    bool is_protected = false;                 ///< failed over lately: stays until its server is balanced
-    bool queued = false;                       ///< waits for a server that may take it
+    std::optional<int> may_have_run;  ///< number of the first attempt that is not known never to have run
+    std::optional<ServerIndex> chosen_server;  ///< server of the latest attempt, as placed by the pipeline
+    std::optional<int> connection_index;  ///< index among its server's connections, while it is one of them
+    std::optional<double> load;           ///< as last reported, in microseconds of work a second
+    bool is_protected = false;  ///< failed over recently: spared from migration until its server is balanced
+    bool queued = false;        ///< waits until a server may take it
 };
 
 using RequestTable = std::unordered_map<RequestId, RequestState>;
--- a/src/policy/retry_after.cpp
+++ b/src/policy/retry_after.cpp
@@ -4,17 +4,19 @@
 
 namespace {
 
-// Parts of the longest retry-after.
-constexpr double least_part = 0.3;
-constexpr double shortage_part = 0.2;
+// Fractions of `max_retry_after`.
+constexpr double min_fraction = 0.3;
+constexpr double shortage_fraction = 0.2;
 
 }  // namespace
 
 Duration random_retry_after(const PolicyConfig& config, Pcg32& random) {
     if (!config.advises_retry_after) return Duration{};
-    return config.max_retry_after * (least_part + (1 - least_part) * random.uniform());
+    return config.max_retry_after * (min_fraction + (1 - min_fraction) * random.uniform());
 }
 
-Duration shortage_retry_after(const PolicyConfig& config) { return config.max_retry_after * shortage_part; }
+Duration shortage_retry_after(const PolicyConfig& config) {
+    return config.max_retry_after * shortage_fraction;
+}
 
 }  // namespace headrouter
--- a/src/policy/timers.h
+++ b/src/policy/timers.h
@@ -1,4 +1,4 @@
-/// The tokens of the policy's timers.
+/// Encodes and decodes the tokens of the policy's timers.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -7,11 +7,11 @@
 
 namespace headrouter {
 
-/// What a timer is for: the lowest byte of its token.
+/// Purpose of a timer, in the lowest byte of its token.
 enum class TimerKind : uint64_t {
     cycle_begins = 1,
     plan_migrations = 2,
-    migrate_next = 3,  ///< of the server whose index is in the token's other bytes
+    migrate_next = 3,  ///< migrates from the server whose index is in the token's other bytes
     retry_queued = 4,
     retry_watch = 5,
     gossip_round = 6,
