--- a/tests/policy/test_attempt_result_recorder.cpp
+++ b/tests/policy/test_attempt_result_recorder.cpp
@@ -1,4 +1,4 @@
-// What the end of an attempt costs its server, and when an affinity key has failed over.
+// Tests which ends of attempts penalize the server, and which record a failover of the affinity key.
 #include <gtest/gtest.h>
 
 #include "policy/attempt_result_recorder.h"
@@ -41,7 +41,7 @@
     RequestState request_;
 };
 
-TEST_F(AttemptResultRecorderTest, EveryFailureBeforeEstablishmentCostsTheServerAndFailsTheKeyOver) {
+TEST_F(AttemptResultRecorderTest, FailureBeforeEstablishmentPenalizesServerAndRecordsFailover) {
     for (const AttemptOutcome outcome : {AttemptOutcome::error, AttemptOutcome::timed_out,
                                          AttemptOutcome::connect_failed, AttemptOutcome::reset}) {
         const double before = failure_penalty();
@@ -53,13 +53,13 @@
     }
 }
 
-TEST_F(AttemptResultRecorderTest, AFullServerIsPenalizedLess) {
+TEST_F(AttemptResultRecorderTest, ServerAtCapacityGetsSmallerPenalty) {
     end_setup(AttemptOutcome::at_capacity);
     EXPECT_DOUBLE_EQ(failure_penalty(), OutlierDetector::penalty_at_capacity);
     EXPECT_TRUE(failover());
 }
 
-TEST_F(AttemptResultRecorderTest, EndsThatSayNothingOfTheServerCostNothing) {
+TEST_F(AttemptResultRecorderTest, CompletedCancelledOrUnsentAttemptAddsNoPenalty) {
     for (const AttemptOutcome outcome :
          {AttemptOutcome::completed, AttemptOutcome::cancelled, AttemptOutcome::not_sent}) {
         end_setup(outcome);
@@ -69,7 +69,7 @@
     EXPECT_FALSE(failover());
 }
 
-TEST_F(AttemptResultRecorderTest, OnlyAResetConnectionCountsAsAnEarlyReset) {
+TEST_F(AttemptResultRecorderTest, OnlyResetConnectionCountsAsEarlyReset) {
     early_resets_.on_established(now);
     end_connection(AttemptOutcome::error);
     EXPECT_EQ(early_resets_.rate(now), 0);
@@ -78,7 +78,7 @@
     EXPECT_FALSE(failover());
 }
 
-TEST_F(AttemptResultRecorderTest, ACancelledConnectionIsParkedAtItsServerOnlyWherePacketsPassThrough) {
+TEST_F(AttemptResultRecorderTest, CancelledConnectionIsRecordedAsParkedInPassthroughMode) {
     config_.passthrough = true;
     end_connection(AttemptOutcome::cancelled);
     ASSERT_TRUE(failover());
--- a/tests/policy/test_attempts.cpp
+++ b/tests/policy/test_attempts.cpp
@@ -1,31 +1,31 @@
-/// Timeouts, outcomes, failure penalties and the retry budget.
+/// Tests timeouts and outcomes of attempts, failure penalties and the retry budget.
 #include "policy_helpers.h"
 
-TEST(Attempts, TimeoutsLeaveTimeForARetry) {
+TEST(Attempts, AttemptTimeoutLeavesTimeForRetry) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     policy.on_request(cycle_start, make_request(1, cycle_start));
-    EXPECT_EQ(actions.attempts[0].timeout, millis(180));  // within the setup objective of 300 ms
+    EXPECT_EQ(actions.attempts[0].timeout, millis(180));  // 0.6 of the setup objective of 300 ms
     TimePoint now = cycle_start + seconds(1.8);
     policy.on_attempt_ended(now, 1, 0, AttemptOutcome::timed_out, seconds(1.8), false, {});
-    EXPECT_EQ(actions.attempts[1].timeout, millis(100));  // half of what is left before the deadline
+    EXPECT_EQ(actions.attempts[1].timeout, millis(100));  // half of the time left before the deadline
     policy.on_attempt_ended(now, 1, 1, AttemptOutcome::at_capacity, {}, false, {});
     policy.on_attempt_ended(now, 1, 2, AttemptOutcome::at_capacity, {}, false, {});
-    EXPECT_EQ(actions.attempts[3].timeout, millis(200));  // the last attempt takes all that is left
+    EXPECT_EQ(actions.attempts[3].timeout, millis(200));  // the last attempt gets all the time that is left
 }
 
-TEST(Attempts, LateAndRepeatedOutcomesAreIgnored) {
+TEST(Attempts, LateOrRepeatedOutcomeIsIgnored) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     policy.on_request(cycle_start, make_request(1, cycle_start));
     policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::at_capacity, {}, false, {});
     policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::at_capacity, {}, false,
-                            {});  // that attempt had ended
+                            {});  // the attempt has already ended
     policy.on_attempt_ended(cycle_start, 1, 7, AttemptOutcome::at_capacity, {}, false,
-                            {});  // there is no such attempt
+                            {});  // unknown attempt
     policy.on_attempt_ended(cycle_start, 9, 0, AttemptOutcome::at_capacity, {}, false,
-                            {});  // nor such a request
+                            {});  // unknown request
     EXPECT_EQ(actions.attempts.size(), 2u);
     policy.on_client_gone(cycle_start, 1);
-    policy.on_client_gone(cycle_start, 1);  // in the same batch as an end
+    policy.on_client_gone(cycle_start, 1);  // a repeated event of the same batch
     policy.on_attempt_ended(cycle_start, 1, 1, AttemptOutcome::completed, {}, true, {});
     policy.on_attempt_established(cycle_start, 1, 1, {});
     policy.on_load_report(cycle_start, 1, 5);
@@ -38,7 +38,7 @@
     }
 }
 
-TEST(Attempts, AFailurePenaltyFadesAndTheShareFollows) {
+TEST(Attempts, ShareRecoversWhileFailurePenaltyDecays) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 10, 10);
     adopt_connections(policy, cycle_start, "b", 30, 10);
@@ -49,14 +49,14 @@
     EXPECT_FALSE(inspector.is_selectable(cycle_start, failed));
     const TimePoint after = cycle_start + seconds(1);
     EXPECT_TRUE(inspector.is_selectable(after, failed));
-    EXPECT_LT(inspector.share(after, failed), 8);  // back, at less than its half
+    EXPECT_LT(inspector.share(after, failed), 8);  // selectable again, with a share below half of the load
     const double share = inspector.share(after, failed);
     EXPECT_GT(inspector.share(after + seconds(4), failed), share + 1);
     EXPECT_LT(inspector.failure_penalty(cycle_start + seconds(40), failed), 0.01);
 }
 
-// Guards against many attempts at a server that accepts requests and answers none.
-TEST(Attempts, AFailingServerGetsOneAttemptAtATime) {
+// Guards against sending many attempts to a server that accepts requests but answers none of them.
+TEST(Attempts, FailingServerGetsOneAttemptAtATime) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     OutlierDetector::State outliers = inspector.outliers("a");
     outliers.consecutive_failures = 1;
@@ -69,8 +69,8 @@
     EXPECT_TRUE(inspector.is_selectable(cycle_start, "a"));
 }
 
-// Guards against rejecting everything when every server has just failed.
-TEST(Attempts, RequestsGoOutWhenAllServersAreInBackoff) {
+// Guards against rejecting all requests when every server has just failed.
+TEST(Attempts, SendsRequestWhenAllServersAreInBackoff) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     for (const ServerId server : {"a", "b"}) inspector.record_failure(cycle_start, server);
     for (const ServerId server : {"a", "b"}) EXPECT_FALSE(inspector.is_selectable(cycle_start, server));
@@ -78,8 +78,9 @@
     EXPECT_EQ(actions.attempts.size(), 1u);
 }
 
-// All connections are reset at once: the next to answer there is a new process. A single reset is no crash.
-TEST(Attempts, ACrashedServerWarmsUpBeforeTheEndpointListSaysSo) {
+// If all connections of a server are reset at once, the next process to answer there is a new one. A single
+// reset does not count as a crash.
+TEST(Attempts, CrashedServerBeginsSlowStartBeforeEndpointListReportsRestart) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 10, 6);
     adopt_connections(policy, cycle_start, "b", 30, 6);
@@ -99,10 +100,11 @@
     EXPECT_LT(inspector.share(now + seconds(1), "a"), 1);
 }
 
-// Guards against retries that multiply the load when everything fails. Retries of attempts that may have run:
-// two and a fifth of the requests of the last seconds; the other requests are rejected with a retry-after. An
-// attempt that no retry may follow has all the time. Attempts that cannot have run are not counted.
-TEST(Attempts, RetriesHaveABudget) {
+// Guards against retries that multiply the load while all servers fail. After attempts that may have run,
+// retries are limited to two plus a fifth of the requests of the last seconds; the other requests are
+// rejected with a retry-after. An attempt that no retry may follow gets all the time left. Retries after
+// attempts that cannot have run are not counted.
+TEST(Attempts, RetriesStopWhenBudgetIsExhausted) {
     const std::vector<Endpoint> endpoints = make_endpoints(20);
     for (const auto& [outcome, attempts, rejected] : {std::tuple(AttemptOutcome::timed_out, 25u, 19u),
                                                       {AttemptOutcome::error, 25u, 19u},
@@ -123,8 +125,8 @@
         EXPECT_GT(actions.retry_after.ns, 0);
         if (attempts == 76) continue;
         policy.on_request(cycle_start + millis(60), make_request(30, cycle_start));
-        EXPECT_EQ(actions.attempts.back().timeout, seconds(2) - millis(60));  // until its deadline
+        EXPECT_EQ(actions.attempts.back().timeout, seconds(2) - millis(60));  // until the deadline
         policy.on_request(cycle_start + seconds(7), make_request(31, cycle_start + seconds(7)));
-        EXPECT_EQ(actions.attempts.back().timeout, millis(180));  // the budget is back
+        EXPECT_EQ(actions.attempts.back().timeout, millis(180));  // the budget allows retries again
     }
 }
--- a/tests/policy/test_connection_tracker.cpp
+++ b/tests/policy/test_connection_tracker.cpp
@@ -1,4 +1,4 @@
-// A connection's request, server and affinity group are kept in step.
+// Tests that the records of a connection's request, server and affinity group stay consistent.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -52,14 +52,14 @@
     ConnectionTracker connections_{{loads_, groups_, requests_, actions_}};
 };
 
-TEST_F(ConnectionTrackerTest, AnAddedConnectionCountsAtItsServerAndInItsGroup) {
+TEST_F(ConnectionTrackerTest, AddedConnectionIsCountedForServerAndGroup) {
     connect(1);
     connect(2);
     EXPECT_EQ(servers_[server_].connections, (std::vector<RequestId>{1, 2}));
     EXPECT_EQ(groups_.members_on("group", server_), 2);
 }
 
-TEST_F(ConnectionTrackerTest, TheLastConnectionTakesThePlaceOfARemovedOne) {
+TEST_F(ConnectionTrackerTest, RemovedConnectionIsReplacedByLastOne) {
     RequestState& first = connect(1);
     connect(2);
     const RequestState& last = connect(3);
@@ -70,7 +70,7 @@
     EXPECT_EQ(groups_.members_on("group", server_), 2);
 }
 
-TEST_F(ConnectionTrackerTest, RemovingTwiceHasNoEffect) {
+TEST_F(ConnectionTrackerTest, SecondRemovalHasNoEffect) {
     RequestState& request = connect(1);
     connections_.remove(request);
     connections_.remove(request);
@@ -78,7 +78,7 @@
     EXPECT_EQ(groups_.members_on("group", server_), 0);
 }
 
-TEST_F(ConnectionTrackerTest, AMigratedRequestIsForgotten) {
+TEST_F(ConnectionTrackerTest, MigratedRequestIsRemoved) {
     connections_.migrate(connect(1));
     EXPECT_EQ(actions_.migrated, (std::vector<RequestId>{1}));
     EXPECT_TRUE(requests_.empty());
--- a/tests/policy/test_eligibility.cpp
+++ b/tests/policy/test_eligibility.cpp
@@ -1,4 +1,4 @@
-// Which servers take new requests, and which may have an attempt now.
+// Tests which servers take new requests, and which may get an attempt now.
 #include <gtest/gtest.h>
 
 #include "policy/eligibility.h"
@@ -26,7 +26,7 @@
     EXPECT_FALSE(eligibility::is_selectable(now, make_server(EndpointState::removed)));
 }
 
-TEST(Eligibility, AFailingServerHasOneProbeAtATimeAfterItsBackoff) {
+TEST(Eligibility, FailingServerAllowsOneAttemptAtATimeAfterBackoff) {
     ServerState server = make_server(EndpointState::active);
     server.outliers.on_failure(now, OutlierDetector::penalty_failed);
     EXPECT_FALSE(eligibility::is_selectable(now, server));
@@ -36,7 +36,7 @@
     EXPECT_FALSE(eligibility::is_selectable(after_backoff, server));
 }
 
-TEST(Eligibility, CountsListedServersThatGetNothing) {
+TEST(Eligibility, CountsListedServersThatAreNotSelectable) {
     const PolicyConfig config;
     ServerTable servers(config);
     servers.begin_update();
@@ -46,5 +46,5 @@
     const ServerIndex failing = servers.apply({"failing", 1, EndpointState::active, 0, 0, {}}).server;
     servers.end_update(true);
     servers[failing].outliers.on_failure(now, OutlierDetector::penalty_failed);
-    EXPECT_EQ(eligibility::count_unselectable(now, servers), 2);  // the draining and the failing one
+    EXPECT_EQ(eligibility::count_unselectable(now, servers), 2);  // the draining and the failing server
 }
--- a/tests/policy/test_endpoints.cpp
+++ b/tests/policy/test_endpoints.cpp
@@ -1,11 +1,11 @@
-/// Endpoint updates, polls, restarts and stray timers.
+/// Tests endpoint updates, polls, restarts and unknown timers.
 #include "policy_helpers.h"
 
 static EndpointState endpoint_state(BalancingPolicy& policy, const ServerId& server) {
     return PolicyInspector{policy}.server(server).endpoint.state;
 }
 
-TEST(Endpoints, AbsenceFromASnapshotMeansRemoved) {
+TEST(Endpoints, ServerMissingFromSnapshotIsRemoved) {
     RecordingActions actions;
     BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     policy.on_endpoints(cycle_start, EndpointUpdateKind::cached, {make_endpoint("a"), make_endpoint("old")});
@@ -15,10 +15,10 @@
     EXPECT_EQ(endpoint_state(policy, "old"), EndpointState::removed);
     EXPECT_EQ(endpoint_state(policy, "a"), EndpointState::active);
     policy.on_endpoints(cycle_start, EndpointUpdateKind::error, {});
-    EXPECT_EQ(endpoint_state(policy, "a"), EndpointState::active);  // the list before a failure stays valid
+    EXPECT_EQ(endpoint_state(policy, "a"), EndpointState::active);  // the list before the error stays valid
 }
 
-TEST(Endpoints, PollsAgainAfterAnErrorWithABoundedBackoff) {
+TEST(Endpoints, ErrorIsFollowedByPollAfterBoundedBackoff) {
     RecordingActions actions;
     PolicyConfig config = make_config();
     config.polls_endpoints = true;
@@ -33,21 +33,22 @@
         EXPECT_EQ(timers.size(), 1u);
         const Duration backoff = timers[0].due - now;
         EXPECT_GE(backoff, millis(200));
-        EXPECT_LE(backoff, seconds(2.6));  // far below the time after which drains count as known
+        EXPECT_LE(backoff, seconds(2.6));  // far below the time after which a drain is assumed to be known
         now = timers[0].due;
         policy.on_timer(now, timers[0].token);
         EXPECT_EQ(actions.watch_requests, ++polls);
     }
     const auto no_timers = actions.take_timers();
     policy.on_endpoints(now, EndpointUpdateKind::delta, {make_endpoint("a")});
-    policy.on_endpoints(now, EndpointUpdateKind::error, {});  // the watch broke
+    policy.on_endpoints(now, EndpointUpdateKind::error, {});  // the watch was lost
     for (const auto& [at, token] : actions.take_timers()) policy.on_timer(at, token);
     EXPECT_TRUE(no_timers.empty());
     EXPECT_EQ(actions.watch_requests, polls + 1);
 }
 
-// The same id with a later start is a new process: failures, limits and connections of the old one are gone.
-TEST(Endpoints, ARestartUnderTheSameIdForgetsTheOldProcess) {
+// The same id with a later launch time is a new process: the failures, load limit and connections of the old
+// process no longer apply.
+TEST(Endpoints, RestartUnderSameIdClearsStateOfOldProcess) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 3);
     OutlierDetector::State outliers = inspector.outliers("a");
@@ -68,14 +69,14 @@
     EXPECT_TRUE(inspector.server("a").connections.empty());
     EXPECT_FALSE(inspector.has_load_limit(now, "a"));
     EXPECT_EQ(inspector.started("a"), restarted.launched);
-    EXPECT_EQ(actions.migrated.size(), 3u);  // their connections have gone with the old process
-    policy.on_endpoints(now, EndpointUpdateKind::delta, {restarted});  // received twice: nothing begins anew
+    EXPECT_EQ(actions.migrated.size(), 3u);                            // the connections of the old process
+    policy.on_endpoints(now, EndpointUpdateKind::delta, {restarted});  // a repeated delta has no effect
     EXPECT_EQ(inspector.started("a"), restarted.launched);
     EXPECT_EQ(actions.migrated.size(), 3u);
 }
 
-// After a step of the wall clock: the server warms up from now on, once.
-TEST(Endpoints, AServerThatSeemsToStartInTheFutureWarmsUpFromNowOn) {
+// A step of the wall clock can put a launch time in the future. Slow start then begins now, and only once.
+TEST(Endpoints, ServerWithFutureLaunchTimeBeginsSlowStartNow) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a")});
     Endpoint ahead = make_endpoint("b");
     ahead.launched = cycle_start + seconds(3600);
--- a/tests/policy/test_placement.cpp
+++ b/tests/policy/test_placement.cpp
@@ -1,7 +1,7 @@
-/// Which server a request goes to, and when it is rejected instead.
+/// Tests which server a request is sent to, and when it is rejected instead.
 #include "policy_helpers.h"
 
-TEST(Placement, PlacesAtRandomOnlyBelowTheShare) {
+TEST(Placement, ChoosesRandomlyAmongServersBelowTheirShares) {
     auto&& [actions, policy, inspector] =
         PolicyFixture({make_endpoint("a"), make_endpoint("b"), make_endpoint("c")});
     adopt_connections(policy, cycle_start, "a", 1, 30);
@@ -23,15 +23,15 @@
     cold.launched = cycle_start - seconds(5);
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b"), cold});
     adopt_connections(policy, cycle_start, "a", 1, 30);
-    for (const ServerId server : {"a", "cold"}) {  // half of twice the weight
+    for (const ServerId server : {"a", "cold"}) {  // cold: half of twice the weight
         EXPECT_GT(inspector.share(cycle_start, server), 9.9);
         EXPECT_LT(inspector.share(cycle_start, server), 10.1);
     }
     EXPECT_GT(inspector.share(cycle_start + seconds(5), "cold"), 14.9);
 }
 
-// Guards against counting connections where request classes differ in load.
-TEST(Placement, CountsReportedLoads) {
+// Guards against balancing by connection counts where the loads of requests differ.
+TEST(Placement, ReportedLoadsCountInsteadOfConnections) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 2);
     adopt_connections(policy, cycle_start, "b", 10, 6);
@@ -45,7 +45,7 @@
     EXPECT_LT(inspector.load("a"), 1e-6);
 }
 
-TEST(Placement, AHintedLoadCountsUntilOneIsReported) {
+TEST(Placement, HintedLoadCountsUntilLoadIsReported) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     Request heavy = make_request(1, cycle_start);
     heavy.hinted_load = millis(90);
@@ -58,13 +58,13 @@
     EXPECT_LT(inspector.load("a"), 1.1 * inspector.load("b"));
 }
 
-// Guards against overloaded servers whose dropped connections overload the next ones.
-TEST(Placement, SlowMessagesLimitAServerAndMigrateItsSurplus) {
+// Guards against cascading overload: connections that an overloaded server drops overload the next servers.
+TEST(Placement, SlowMessagesSetLoadLimitAndMigrateSurplus) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 20);
     adopt_connections(policy, cycle_start, "b", 100, 20);
     policy.on_latency_report(cycle_start, "a", 100);
-    // Half a second more after one second: the load is half over capacity.
+    // The latency grew by half a second within one second: the load is half over capacity.
     policy.on_latency_report(cycle_start + seconds(1), "a", 600);
     const double limit = inspector.load_limit(cycle_start + seconds(1), "a");
     EXPECT_GT(limit, 8);
@@ -81,10 +81,10 @@
     EXPECT_GE(actions.migrated.size(), 7u);
     EXPECT_LE(actions.migrated.size(), 12u);
     for (const RequestId id : actions.migrated) EXPECT_LE(id, 20);
-    EXPECT_GT(inspector.load_limit(now + seconds(10), "a"), limit);  // rises by itself
+    EXPECT_GT(inspector.load_limit(now + seconds(10), "a"), limit);  // rises over time without a report
 }
 
-TEST(Placement, RejectsAtOnceWithARetryAfterWhenAllServersAreSlow) {
+TEST(Placement, RejectsImmediatelyWithRetryAfterWhenAllServersAreSlow) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 20);
     adopt_connections(policy, cycle_start, "b", 100, 20);
@@ -97,8 +97,8 @@
     EXPECT_FALSE(inspector.has_request(300));
 }
 
-// Guards against rejections for a delay that is not caused by load: a third of the message objective.
-TEST(Placement, MildDelaysThatDoNotGrowRejectNothing) {
+// Guards against rejects because of latency that load does not cause (here a third of the message objective).
+TEST(Placement, MildLatencyThatDoesNotGrowCausesNoReject) {
     for (const double second_ms : {30.0, 45.0}) {
         auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
         adopt_connections(policy, cycle_start, "a", 1, 20);
@@ -113,8 +113,9 @@
     }
 }
 
-// Guards against a server that recovers and is kept to the connections of its slow time while the load grows.
-TEST(Placement, AMildServerKeepsMostOfItsShareWhenTheLoadGrows) {
+// Guards against a recovered server that stays limited to the connections it had while slow, although the
+// load grows.
+TEST(Placement, ServerWithMildLatencyKeepsMostOfShareWhenLoadGrows) {
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), make_endpoint("b")});
     adopt_connections(policy, cycle_start, "a", 1, 20);
     adopt_connections(policy, cycle_start, "b", 100, 20);
@@ -128,7 +129,7 @@
     EXPECT_LT(inspector.load_limit(later, "a"), 45);
 }
 
-TEST(Placement, AGroupStaysOnItsServersAndItsPreferredOnes) {
+TEST(Placement, GroupStaysOnServersWithMembersAndPreferredServers) {
     auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(12));
     RequestId id = 1000;
     for (const Endpoint& endpoint : make_endpoints(12)) {
@@ -141,11 +142,11 @@
     for (const auto& attempt : actions.attempts) ++members[attempt.server];
     EXPECT_EQ(actions.attempts.size(), 16u);
     EXPECT_LE(members.size(), 8u);
-    // Filled to a quarter over its share before the next server is used.
+    // A server is filled to a quarter over its share before the next one is used.
     EXPECT_GE(members[actions.attempts[0].server], 2);
 }
 
-TEST(Placement, ASlowPreferredServerRejectsOnlyWhileMuchOfTheFleetIsSlow) {
+TEST(Placement, SlowPreferredServerCausesRejectOnlyWhileMuchOfFleetIsSlow) {
     for (const auto& [slow, count] : {std::pair{1, 12}, {8, 12}, {2, 5}, {3, 5}}) {
         const std::vector<Endpoint> endpoints = make_endpoints(count);
         auto&& [actions, policy, inspector] = PolicyFixture(endpoints);
@@ -165,7 +166,7 @@
             ++reported;
         }
         policy.on_request(cycle_start, make_request(2, cycle_start, "", "g"));
-        const bool rejects = slow > 2;  // two of five say little about the others
+        const bool rejects = slow > 2;  // two slow servers of five are too few to count as much of the fleet
         EXPECT_EQ(actions.rejected.size(), rejects ? 1 : 0);
         EXPECT_EQ(actions.attempts.size(), rejects ? 1 : 2);
         if (!rejects) {
--- a/tests/policy/test_request_pipeline.cpp
+++ b/tests/policy/test_request_pipeline.cpp
@@ -1,4 +1,5 @@
-// Why a request gets an attempt, waits, is rejected or fails: one case for each result and its condition.
+// Tests when a request gets an attempt, is queued, is rejected or fails: a case for each result and
+// condition.
 #include "policy_helpers.h"
 
 namespace headrouter {
@@ -12,25 +13,25 @@
     return config;
 }
 
-TEST(RequestPipeline, StartsAnAttemptWhereAServerMayTakeTheRequest) {
+TEST(RequestPipeline, StartsAttemptWhenServerMayTakeRequest) {
     auto&& [actions, policy, inspector] = PolicyFixture(two_servers);
     policy.on_request(cycle_start, make_request(1, cycle_start));
     ASSERT_EQ(actions.attempts.size(), 1u);
     EXPECT_TRUE(actions.attempts[0].server == "a" || actions.attempts[0].server == "b");
 }
 
-TEST(RequestPipeline, AttemptsLeaveTimeForTheNextOneAndTheLastHasAllThatIsLeft) {
+TEST(RequestPipeline, AttemptLeavesTimeForNextOneAndLastAttemptGetsRemainingTime) {
     auto&& [actions, policy, inspector] = PolicyFixture(two_servers, config_of(Idempotency::idempotent, 2));
     policy.on_request(cycle_start, make_request(1, cycle_start));
     const TimePoint now = cycle_start + millis(180);
     policy.on_attempt_ended(now, 1, 0, AttemptOutcome::timed_out, millis(180), false, {});
     ASSERT_EQ(actions.attempts.size(), 2u);
-    EXPECT_EQ(actions.attempts[0].timeout, millis(300) * 0.6);  // of the setup objective
+    EXPECT_EQ(actions.attempts[0].timeout, millis(300) * 0.6);  // 0.6 of the setup objective
     EXPECT_EQ(actions.attempts[1].timeout, seconds(2) - millis(180));
     EXPECT_NE(actions.attempts[0].server, actions.attempts[1].server);
 }
 
-TEST(RequestPipeline, QueuesWhileNoServerIsKnownAndTriesAgainByTimer) {
+TEST(RequestPipeline, QueuesRequestWhileNoServerIsKnownAndRetriesItByTimer) {
     auto&& [actions, policy, inspector] = PolicyFixture(std::vector<Endpoint>{});
     policy.on_request(cycle_start, make_request(1, cycle_start));
     EXPECT_TRUE(actions.attempts.empty());
@@ -43,16 +44,16 @@
     EXPECT_FALSE(inspector.request(1).queued);
 }
 
-TEST(RequestPipeline, RejectsWhatCannotBeTriedAgainBeforeItsDeadline) {
+TEST(RequestPipeline, RejectsRequestThatCannotBeTriedAgainBeforeDeadline) {
     auto&& [actions, policy, inspector] = PolicyFixture(std::vector<Endpoint>{});
     Request request = make_request(1, cycle_start);
-    request.deadline = cycle_start + millis(24);  // the next try and two steps
+    request.deadline = cycle_start + millis(24);  // exactly the time of the next try plus two steps
     policy.on_request(cycle_start, request);
     EXPECT_EQ(actions.rejected, (std::vector<RequestId>{1}));
     EXPECT_FALSE(inspector.has_request(1));
 }
 
-TEST(RequestPipeline, RejectsAtTheDeadline) {
+TEST(RequestPipeline, RejectsRequestAtItsDeadline) {
     auto&& [actions, policy, inspector] = PolicyFixture(two_servers);
     Request request = make_request(1, cycle_start);
     request.deadline = cycle_start;
@@ -61,7 +62,7 @@
     EXPECT_EQ(actions.rejected, (std::vector<RequestId>{1}));
 }
 
-TEST(RequestPipeline, FailsRatherThanRejectsWhatMayHaveRunAndMustNotRunAgain) {
+TEST(RequestPipeline, FailsNonIdempotentRequestThatMayHaveRun) {
     auto&& [actions, policy, inspector] =
         PolicyFixture(two_servers, config_of(Idempotency::non_idempotent, 4));
     policy.on_request(cycle_start, make_request(1, cycle_start));
@@ -72,7 +73,7 @@
     EXPECT_FALSE(inspector.has_request(1));
 }
 
-TEST(RequestPipeline, RejectsWhatNeverRanAfterTheLastAttempt) {
+TEST(RequestPipeline, RejectsRequestThatNeverRanAfterLastAttempt) {
     auto&& [actions, policy, inspector] =
         PolicyFixture(two_servers, config_of(Idempotency::non_idempotent, 1));
     policy.on_request(cycle_start, make_request(1, cycle_start));
@@ -81,7 +82,7 @@
     EXPECT_TRUE(actions.failed.empty());
 }
 
-TEST(RequestPipeline, AFinalOutcomeEndsTheRequestWithoutAFurtherAnswer) {
+TEST(RequestPipeline, FinalOutcomeRemovesRequestWithoutFurtherAnswer) {
     auto&& [actions, policy, inspector] = PolicyFixture(two_servers);
     policy.on_request(cycle_start, make_request(1, cycle_start));
     policy.on_attempt_ended(cycle_start, 1, 0, AttemptOutcome::completed, millis(1), true, {});
--- a/tests/policy/test_request_queue.cpp
+++ b/tests/policy/test_request_queue.cpp
@@ -1,4 +1,4 @@
-// Requests that wait until a server may take them.
+// Tests the order, the timer and the deadline check of queued requests.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -44,7 +44,7 @@
     RequestQueue queue_{config_, actions_};
 };
 
-TEST_F(RequestQueueTest, ReturnsRequestsInTheirOrderOnceEach) {
+TEST_F(RequestQueueTest, ReturnsEachRequestOnceInOrderOfArrival) {
     RequestState first = request_with(7);
     RequestState second = request_with(3);
     queue_.add(now, first);
@@ -55,7 +55,7 @@
     EXPECT_TRUE(queue_.take_all().empty());
 }
 
-TEST_F(RequestQueueTest, SetsOneTimerUntilItRings) {
+TEST_F(RequestQueueTest, SetsNoSecondTimerBeforeFirstExpires) {
     RequestState first = request_with(1);
     RequestState second = request_with(2);
     queue_.add(now, first);
@@ -67,7 +67,7 @@
     EXPECT_EQ(actions_.timers.back(), now + retry_interval * 2);
 }
 
-TEST_F(RequestQueueTest, HasTimeForARequestWhoseDeadlineIsAfterTheNextTryAndTwoSteps) {
+TEST_F(RequestQueueTest, HasTimeForRequestWhoseDeadlineIsAfterNextTryAndTwoSteps) {
     const Duration least = retry_interval + config_.step * 2;
     EXPECT_FALSE(queue_.has_time_for(now, request_with(1, least)));
     EXPECT_TRUE(queue_.has_time_for(now, request_with(1, least + Duration{1})));
--- a/tests/policy/test_retry_after.cpp
+++ b/tests/policy/test_retry_after.cpp
@@ -1,4 +1,4 @@
-// How long rejected clients are asked to wait.
+// Tests how long rejected clients are told to wait.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 namespace headrouter {
 namespace {
 
-PolicyConfig config_with_longest(Duration max_retry_after) {
+PolicyConfig config_with_max(Duration max_retry_after) {
     PolicyConfig config;
     config.advises_retry_after = true;
     config.max_retry_after = max_retry_after;
     return config;
 }
 
-TEST(RetryAfter, IsSpreadBetweenAPartOfTheLongestAndTheLongest) {
-    const PolicyConfig config = config_with_longest(seconds(2));
+TEST(RetryAfter, IsDistributedBetweenMinFractionAndMaxRetryAfter) {
+    const PolicyConfig config = config_with_max(seconds(2));
     Pcg32 random(1);
     Duration shortest = seconds(1000);
     Duration longest;
@@ -31,8 +31,8 @@
     EXPECT_GT(longest, seconds(1.98));
 }
 
-TEST(RetryAfter, IsZeroAndDrawsNothingWhereClientsGetNoAdvice) {
-    PolicyConfig config = config_with_longest(seconds(2));
+TEST(RetryAfter, IsZeroAndDrawsNothingWhenAdviceIsOff) {
+    PolicyConfig config = config_with_max(seconds(2));
     config.advises_retry_after = false;
     Pcg32 random(1);
     Pcg32 untouched(1);
@@ -40,8 +40,8 @@
     EXPECT_EQ(random.next(), untouched.next());
 }
 
-TEST(RetryAfter, OfAShortageIsAFixedPartOfTheLongestWhateverClientsAreAdvised) {
-    PolicyConfig config = config_with_longest(seconds(2));
+TEST(RetryAfter, ShortageGivesFixedFractionWhetherAdviceIsOnOrOff) {
+    PolicyConfig config = config_with_max(seconds(2));
     EXPECT_EQ(shortage_retry_after(config), seconds(0.4));
     config.advises_retry_after = false;
     EXPECT_EQ(shortage_retry_after(config), seconds(0.4));
--- a/tests/policy/test_retry_policy.cpp
+++ b/tests/policy/test_retry_policy.cpp
@@ -1,4 +1,5 @@
-// Which requests may run twice: every idempotency, deduplication scope and side of the deduplication window.
+// Tests which requests may run twice, for each idempotency, each deduplication scope, and before and after
+// the end of the deduplication window.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -73,14 +74,14 @@
     for (const DedupScope scope : every_scope) EXPECT_TRUE(is_in_scope(scope, first, first));
 }
 
-TEST(RetryPolicy, ClientMayAlwaysRetryWhatNeverRan) {
+TEST(RetryPolicy, ClientMayAlwaysRetryRequestThatNeverRan) {
     for (const Idempotency idempotency : every_idempotency)
         for (const DedupScope scope : every_scope)
             for (const ClientRetryBasis basis : every_basis)
                 EXPECT_TRUE(may_client_retry(class_of(idempotency, scope), false, basis));
 }
 
-TEST(RetryPolicy, ClientMayRetryWhatMayHaveRunWhereItIsIdempotentOrRecognisedByAllServers) {
+TEST(RetryPolicy, ClientMayRetryRequestThatMayHaveRunIfIdempotentOrRecognisedByAllServers) {
     for (const DedupScope scope : every_scope) {
         for (const ClientRetryBasis basis : every_basis) {
             SCOPED_TRACE(testing::Message()
@@ -94,7 +95,7 @@
     }
 }
 
-TEST(RetryPolicy, OnlyAttemptsThatNeverReachedAServersWorkNeverRan) {
+TEST(RetryPolicy, OnlyOutcomesBeforeExecutionMeanNeverRan) {
     EXPECT_TRUE(never_ran(AttemptOutcome::at_capacity));
     EXPECT_TRUE(never_ran(AttemptOutcome::connect_failed));
     EXPECT_TRUE(never_ran(AttemptOutcome::not_sent));
