--- a/src/affinity/group_table.h
+++ b/src/affinity/group_table.h
@@ -34,8 +34,8 @@
     int members_on(const std::string& group, ServerIndex server) const;
     int members_of(const std::string& group) const;
     /// Returns the number of connections that this balancer would need for its own counts to show how large a
-    /// group is (Ewens' sampling formula). It grows without bound with the connections if no two of them are
-    /// in the same group, and is close to 1 if most of many are.
+    /// group is (Ewens' sampling formula). The number grows without bound with the connections while no two
+    /// of them are in the same group, and is close to 1 if most of many are.
     double size_uncertainty() const;
 
    private:
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -122,10 +122,10 @@
     bool is_open(const PlacementContext&, ServerIndex) const;
     /// Returns whether the request would put the server above its load limit.
     bool is_slow(const PlacementContext&, ServerIndex) const;
-    /// Returns whether to treat the server as slow although it may not have reported latency. A server on
-    /// which this balancer has no connections reports nothing to it, so the server is taken to be slow with
-    /// the probability found among the servers that do report. Otherwise, with hundreds of balancers,
-    /// connections that one balancer migrates off a slow server are placed there again by another.
+    /// Returns whether to treat a server that reports no latency as slow. A server without connections of
+    /// this balancer reports nothing to it; while much of the fleet is slow, it is taken to be slow as often
+    /// as the servers that do report are. Otherwise, with hundreds of balancers, connections that one
+    /// balancer migrates off a slow server are placed there again by another.
     bool is_probably_slow(const PlacementContext&, ServerIndex);
 
     const PolicyConfig& config_;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -64,7 +64,7 @@
     bool mid_stream = false;              ///< resumes a connection that a server may still have
     std::string key;                      ///< affinity key; empty if the request has none
     std::string group;                    ///< affinity group; empty if the request is in none
-    std::optional<Duration> hinted_load;  ///< expected work a second
+    std::optional<Duration> hinted_load;  ///< load hint, as work a second
     TimePoint deadline;                   ///< time by which the request must be answered
 };
 
