--- a/src/router/gossip_interface.h
+++ b/src/router/gossip_interface.h
@@ -16,7 +16,7 @@
     virtual ~GossipInterface() = default;
 
     /// Sends `bytes` to the balancer with `replica_index`, or to all other balancers if it is
-    /// `everyone_else`.
+    /// `all_other_replicas`.
     virtual void publish(int replica_index, std::string_view bytes) = 0;
 };
 
