--- a/src/capture/policy_form.h
+++ b/src/capture/policy_form.h
@@ -38,7 +38,7 @@
     std::array<double, 2> unused{};  // fields of earlier versions
     visit(archive, unused);
     visit(archive, limit.latency);
-    visit(archive, limit.is_mild);
+    visit(archive, limit.has_steady_low_latency);
     visit_negative_for_none(archive, limit.limit);
     visit(archive, limit.limited_at);
     visit(archive, limit.rounding);
@@ -98,7 +98,7 @@
     gossip::GossipRounds::State rounds = gossip.rounds.rounds.state();
     for (ServerState& server : policy.servers.servers) {
         visit(archive, server.fleet_load);
-        visit(archive, server.own_load_then);
+        visit(archive, server.own_load_in_fleet_load);
     }
     visit(archive, gossip.short_ids);
     visit(archive, rounds.tally);
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -147,13 +147,13 @@
     for (const FleetView::DegradedServer& server : fleet.degraded) {
         const ServerState& state = servers_[server.server];
         const bool is_over = server.load_limit && server.load + added > *server.load_limit;
-        if (server.is_open && !state.load_limit.is_mild() && is_over) ++fleet.slow_servers;
+        if (server.is_open && !state.load_limit.has_steady_low_latency() && is_over) ++fleet.slow_servers;
         // Its limit is what this balancer has heard of it.
         if (server.load_limit && state.connections.empty()) ++heard;
     }
-    fleet.slow_part = fleet.slow_servers / heard;
+    fleet.slow_fraction = fleet.slow_servers / heard;
     fleet.is_mostly_slow =
-        fleet.slow_servers >= fewest_mostly_slow && fleet.slow_part > least_part_mostly_slow;
+        fleet.slow_servers >= fewest_mostly_slow && fleet.slow_fraction > least_part_mostly_slow;
 }
 
 }  // namespace headrouter
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -28,7 +28,7 @@
     int open_servers = 0;                        ///< that may take the request
     int slow_servers = 0;                        ///< of these, at their load limits
     std::optional<ServerIndex> excluded_server;  ///< where the request's last attempt failed
-    double slow_part = 0;                        ///< slow_servers over those whose latency is known here
+    double slow_fraction = 0;                    ///< slow_servers over those whose latency is known here
     bool is_mostly_slow = false;                 ///< much of the fleet is slow
     std::vector<DegradedServer> degraded;        ///< by ServerState::degraded_index
 };
--- a/src/policy/headroom_publisher.cpp
+++ b/src/policy/headroom_publisher.cpp
@@ -44,7 +44,7 @@
 
 bool HeadroomPublisher::reports_as_degraded(TimePoint now, const ServerState& server) const {
     if (server.outliers.is_failing()) return true;
-    if (server.load_limit.is_mild()) return false;
+    if (server.load_limit.has_steady_low_latency()) return false;
     const std::optional<double> limit = loads_.load_limit(now, server);
     return limit && *limit < std::max(loads_.load_on(server), loads_.full_share(server));
 }
--- a/src/policy/load_limit.cpp
+++ b/src/policy/load_limit.cpp
@@ -9,7 +9,7 @@
                                                 const Usage& usage, Pcg32& random) {
     const double demanded = demand(now, latency_seconds);
     const bool is_slow = latency_seconds >= to_seconds(objective) * slow_part_of_objective;
-    state_.is_mild = !is_slow && latency_seconds <= state_.latency * steady_growth;
+    state_.has_steady_low_latency = !is_slow && latency_seconds <= state_.latency * steady_growth;
     state_.reported_at = now;
     state_.latency = latency_seconds;
     if (!is_slow) {
@@ -42,7 +42,7 @@
 
 void LoadLimit::on_reset(TimePoint now, double load, double full_share) {
     lower_to(now, load, full_share);
-    state_.is_mild = false;
+    state_.has_steady_low_latency = false;
 }
 
 void LoadLimit::lower_to(TimePoint now, double load, double full_share) {
@@ -56,7 +56,7 @@
     if (age > limit_lifetime) return std::nullopt;
     // A sound server keeps room for its part of what other servers lose. A limit from the time when it was
     // slow would leave all of that to the few servers without one.
-    const double least = state_.is_mild ? full_share * mild_part_of_share : 0;
+    const double least = state_.has_steady_low_latency ? full_share * mild_part_of_share : 0;
     return std::max(least, *state_.limit + to_seconds(age) * growth_per_second * full_share);
 }
 
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -21,7 +21,7 @@
     struct State {
         TimePoint reported_at;  ///< the latest latency report
         double latency = 0;     ///< in seconds, as last reported
-        bool is_mild = false;
+        bool has_steady_low_latency = false;
         std::optional<double> limit;  ///< as of `limited_at`
         TimePoint limited_at;
         double rounding = 0;
@@ -63,7 +63,7 @@
     /// down would leave it empty.
     double rounding() const { return state_.rounding; }
     /// Whether the last latency was short and no longer than the one before: load has no part in it.
-    bool is_mild() const { return state_.is_mild; }
+    bool has_steady_low_latency() const { return state_.has_steady_low_latency; }
 
    private:
     /// A server is slow from this part of the message objective on.
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -165,7 +165,7 @@
     double least_use = 0;
     for (const ServerIndex index : servers_.indexes()) {
         const ServerState& server = servers_[index];
-        const bool is_allowed_slow = allows_mild && server.load_limit.is_mild();
+        const bool is_allowed_slow = allows_mild && server.load_limit.has_steady_low_latency();
         if (!is_open(context, index) || (is_slow(context, index) && !is_allowed_slow)) continue;
         // What a connection counts here: by the group's draw, else by this balancer's.
         const double draw = ranking ? ranking->score_of(index) * server.weight : server.subset_draw;
@@ -204,7 +204,8 @@
 
 double Placement::fleet_use(const PlacementContext& context, const ServerState& server, double share) const {
     // The published load, with this balancer's part as it is now.
-    const double load = server.fleet_load + loads_.load_on(server) - server.own_load_then + context.load;
+    const double load =
+        server.fleet_load + loads_.load_on(server) - server.own_load_in_fleet_load + context.load;
     const double beyond_room = load - fleet_room * connection_load(context);
     const double share_of_fleet = share / std::max(context.fleet.total_load, epsilon) * gossip_.fleet_total();
     return beyond_room / std::max(share_of_fleet * fleet_slack, epsilon);
@@ -226,7 +227,7 @@
     const bool has_limit =
         server.degraded_index && context.fleet.degraded[*server.degraded_index].load_limit.has_value();
     const bool is_heard = !server.connections.empty() || has_limit;
-    return !is_heard && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_part;
+    return !is_heard && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_fraction;
 }
 
 }  // namespace headrouter
--- a/src/policy/round_exchange.cpp
+++ b/src/policy/round_exchange.cpp
@@ -81,7 +81,7 @@
     if (!state_.rounds.on_sum(now, sum, config_.replica_count, loads_.total(), estimates)) return;
     for (const ServerIndex index : servers_.indexes()) {
         servers_[index].fleet_load = estimates[index.value()].pooled_load;
-        servers_[index].own_load_then = loads_.load_on(servers_[index]);
+        servers_[index].own_load_in_fleet_load = loads_.load_on(servers_[index]);
     }
 }
 
--- a/src/policy/server_state.h
+++ b/src/policy/server_state.h
@@ -27,8 +27,8 @@
     /// What a connection counts before the own share takes it here: exponential with mean 1, by replica
     /// index.
     double subset_draw = 1;
-    double fleet_load = 0;     ///< over all balancers, as last published, in mean load units
-    double own_load_then = 0;  ///< this balancer's part of it
+    double fleet_load = 0;              ///< over all balancers, as last published, in mean load units
+    double own_load_in_fleet_load = 0;  ///< this balancer's part of it
 
     OutlierDetector outliers;
     LoadLimit load_limit;
--- a/tests/policy/test_load_limit.cpp
+++ b/tests/policy/test_load_limit.cpp
@@ -32,7 +32,7 @@
     EXPECT_LE(surplus.connections, 11);
     EXPECT_DOUBLE_EQ(surplus.load, surplus.connections);
     EXPECT_DOUBLE_EQ(limit.at(start, 20).value(), 20 - surplus.load);
-    EXPECT_FALSE(limit.is_mild());
+    EXPECT_FALSE(limit.has_steady_low_latency());
 }
 
 TEST(LoadLimit, ALimitRisesAndEndsAfterThirtySeconds) {
@@ -58,9 +58,9 @@
     LoadLimit limit;
     Pcg32 random(1);
     limit.on_latency_report(start, 0.03, objective, {2, 2, 20}, random);
-    EXPECT_FALSE(limit.is_mild());  // longer than the report before, of which there is none
+    EXPECT_FALSE(limit.has_steady_low_latency());  // longer than the report before, of which there is none
     limit.on_latency_report(start + seconds(1), 0.03, objective, {2, 2, 20}, random);
-    EXPECT_TRUE(limit.is_mild());
+    EXPECT_TRUE(limit.has_steady_low_latency());
     EXPECT_DOUBLE_EQ(limit.at(start + seconds(1), 20).value(), 14);
 }
 
