--- a/src/load/connection_load.h
+++ b/src/load/connection_load.h
@@ -1,4 +1,4 @@
-/// The load of a set of connections, as far as it is reported. Plain sums; nothing is decided.
+/// Sums the load of a set of connections, with the number of connections without a report by request class.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -8,13 +8,14 @@
 
 namespace headrouter {
 
-/// Connections established or pending. Each counts by its reported load, else by what its request class was
-/// seen to need. Loads in microseconds a second; nothing where none is reported.
+/// Sums the load of established and pending connections. Each counts with its reported load or, without a
+/// report, with the mean reported load of its request class. Loads are in microseconds of work per second; no
+/// value if no load is reported.
 struct ConnectionLoad {
-    std::vector<double> unreported;  ///< for each request class, connections whose load is not reported
-    double reported = 0;             ///< of all others
+    std::vector<double> unreported;  ///< number of connections without a reported load, by class
+    double reported = 0;             ///< sum of the loads of all other connections
 
-    /// A connection of the class, one of so many classes, with that load.
+    /// Adds a connection of `request_class` with that load; `classes` is the number of request classes.
     void add(size_t request_class, std::optional<double> load, size_t classes) {
         unreported.resize(classes);
         if (load)
@@ -22,19 +23,19 @@
         else
             unreported[request_class] += 1;
     }
-    /// Takes one away that was added with the same load, or that has reported it since.
+    /// Removes a connection that was added with the same load, or has reported that load since.
     void remove(size_t request_class, std::optional<double> load) {
         if (load)
             reported -= *load;
         else
             unreported[request_class] -= 1;
     }
-    /// A connection that had the load `before` reports `load`.
+    /// Changes the load of a connection from `before` to the reported `load`.
     void report(size_t request_class, std::optional<double> before, double load) {
         if (!before) unreported[request_class] -= 1;
         reported += load - before.value_or(0);
     }
-    /// In mean load units.
+    /// Returns the load of all connections in mean load units.
     double in_units(const RequestClassLoads& loads) const {
         double load = reported / loads.mean_unit();
         for (size_t type = 0; type < unreported.size(); ++type)
--- a/src/policy/degraded_servers.h
+++ b/src/policy/degraded_servers.h
@@ -1,4 +1,4 @@
-/// The servers that differ from sound ones.
+/// Lists the servers that are failing, cold or have a load limit.
 #pragma once
 #include <utility>
 #include <vector>
@@ -8,29 +8,29 @@
 
 namespace headrouter {
 
-/// The servers that are failing, cold or have a load limit. Only these need a look of their own in each view
-/// of the fleet (FairShares); what the others get follows from sums.
+/// Keeps the list of servers that are failing, cold or have a load limit. FairShares evaluates only these one
+/// by one for each FleetView; the shares of all other servers follow from sums.
 class DegradedServers {
    public:
-    /// In the order in which they were marked.
+    /// Degraded servers in the order in which they were marked.
     using State = std::vector<ServerIndex>;
 
     [[nodiscard]] const State& state() const { return list_; }
     void restore(State state) { list_ = std::move(state); }
 
-    /// All must outlive it.
+    /// The arguments must outlive this object.
     DegradedServers(ServerTable& servers, const ServerLoads& loads, const WarmupAdmission& warmup)
         : servers_(servers), loads_(loads), warmup_(warmup) {}
 
-    /// From now on the server needs a look of its own.
+    /// Adds the server to the list, unless it is listed already.
     void mark(ServerIndex);
-    /// Forgets those that have recovered.
+    /// Removes the servers that have recovered.
     void update(TimePoint now);
-    /// In the order in which they were marked.
+    /// Returns the degraded servers in the order in which they were marked.
     const std::vector<ServerIndex>& list() const { return list_; }
 
    private:
-    bool is_sound(TimePoint now, const ServerState&) const;
+    bool is_healthy(TimePoint now, const ServerState&) const;
 
     ServerTable& servers_;
     const ServerLoads& loads_;
--- a/src/policy/fair_shares.cpp
+++ b/src/policy/fair_shares.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-/// Below this, the servers that have a share have no weight to share by.
+/// A total weight of the counted servers below this is treated as zero.
 constexpr double negligible_weight = 1e-9;
 
-/// Counted among the servers heard of beyond those in use, so that one or two do not stand for the fleet.
-constexpr double least_heard = 1;
-/// So many slow servers are much of the fleet, if they are also more than this part of those heard of.
-constexpr int fewest_mostly_slow = 3;
-constexpr double least_part_mostly_slow = 0.25;
+/// Added to the number of servers whose latency is known, so that one or two slow servers do not represent
+/// the whole fleet.
+constexpr double known_servers_offset = 1;
+/// The fleet is mostly slow if at least this many servers are slow, and they are also more than this fraction
+/// of the servers whose latency is known.
+constexpr int min_mostly_slow_servers = 3;
+constexpr double min_mostly_slow_fraction = 0.25;
 
-/// The server no longer counts among the sound ones.
-void leave_out(FleetView& fleet, const ServerState& server) {
+/// Subtracts the server from the sums over all active servers.
+void exclude(FleetView& fleet, const ServerState& server) {
     fleet.counted_weight -= server.weight;
     --fleet.open_servers;
 }
@@ -42,7 +44,7 @@
     degraded_.update(now);
     FleetView fleet = view_in_mode(now, request, false);
     if (fleet.open_servers <= 0 && request) fleet = view_in_mode(now, request, true);
-    count_slow(fleet, request);
+    count_slow_servers(fleet, request);
     return fleet;
 }
 
@@ -71,11 +73,11 @@
         fleet.excluded_server = request->attempts.back().server;
     fleet.counted_weight = servers_.active_weight();
     fleet.open_servers = servers_.active_count();
-    leave_out_others(fleet, request);
+    exclude_non_candidates(fleet, request);
     for (const ServerIndex index : degraded_.list()) {
         servers_[index].degraded_index = fleet.degraded.size();
         const bool candidate = is_candidate(fleet, request, index);
-        if (candidate) leave_out(fleet, servers_[index]);
+        if (candidate) exclude(fleet, servers_[index]);
         const FleetView::DegradedServer server = view_degraded(now, index, request, candidate, panic_mode);
         fleet.counted_weight += server.weight;
         if (server.is_open) ++fleet.open_servers;
@@ -85,18 +87,17 @@
     return fleet;
 }
 
-// Active servers that are no candidates for the request.
-void FairShares::leave_out_others(FleetView& fleet, const RequestState* request) const {
+void FairShares::exclude_non_candidates(FleetView& fleet, const RequestState* request) const {
     const auto is_active = [&](ServerIndex index) {
         return eligibility::takes_new_requests(servers_[index].endpoint.state);
     };
     if (fleet.excluded_server && is_active(*fleet.excluded_server))
-        leave_out(fleet, servers_[*fleet.excluded_server]);
+        exclude(fleet, servers_[*fleet.excluded_server]);
     const bool is_bound = request && dedup_scope(*request) != DedupScope::all;
     if (!is_bound) return;
     for (const ServerIndex index : servers_.indexes()) {
         if (!is_active(index) || index == fleet.excluded_server) continue;
-        if (!is_in_dedup_scope(*request, servers_[index])) leave_out(fleet, servers_[index]);
+        if (!is_in_dedup_scope(*request, servers_[index])) exclude(fleet, servers_[index]);
     }
 }
 
@@ -123,7 +124,7 @@
     for (FleetView::DegradedServer& server : fleet.degraded) below_limit.push_back(&server);
     double load = fleet.total_load;
     double weight = fleet.counted_weight;
-    // Each server that its limit cuts leaves more for the others, some of which their limits may cut then.
+    // Capping a server at its limit raises the shares of the others, which may then exceed their own limits.
     for (bool has_cut = true; has_cut;) {
         has_cut = false;
         fleet.share_per_weight = weight > negligible_weight ? std::max(0.0, load) / weight : 0;
@@ -141,19 +142,20 @@
         server->share = server->weight * fleet.share_per_weight;
 }
 
-void FairShares::count_slow(FleetView& fleet, const RequestState* request) const {
+void FairShares::count_slow_servers(FleetView& fleet, const RequestState* request) const {
     const double added = request ? loads_.load_of(*request) : 0;
-    double heard = loads_.servers_in_use() + least_heard;
+    double known_servers = loads_.servers_in_use() + known_servers_offset;
     for (const FleetView::DegradedServer& server : fleet.degraded) {
         const ServerState& state = servers_[server.server];
         const bool is_over = server.load_limit && server.load + added > *server.load_limit;
         if (server.is_open && !state.load_limit.has_steady_low_latency() && is_over) ++fleet.slow_servers;
-        // Its limit is what this balancer has heard of it.
-        if (server.load_limit && state.connections.empty()) ++heard;
+        // A server without connections of this balancer counts as known if it has a load limit, which comes
+        // from an earlier latency report or reset.
+        if (server.load_limit && state.connections.empty()) ++known_servers;
     }
-    fleet.slow_fraction = fleet.slow_servers / heard;
+    fleet.slow_fraction = fleet.slow_servers / known_servers;
     fleet.is_mostly_slow =
-        fleet.slow_servers >= fewest_mostly_slow && fleet.slow_fraction > least_part_mostly_slow;
+        fleet.slow_servers >= min_mostly_slow_servers && fleet.slow_fraction > min_mostly_slow_fraction;
 }
 
 }  // namespace headrouter
--- a/src/policy/fair_shares.h
+++ b/src/policy/fair_shares.h
@@ -1,4 +1,5 @@
-/// Fair shares: what part of this balancer's load each server should have, at one moment and for one request.
+/// Computes fair shares: the part of this balancer's load that each server should have, at one moment and for
+/// one request.
 #pragma once
 #include <optional>
 #include <vector>
@@ -10,33 +11,34 @@
 
 namespace headrouter {
 
-/// What one decision sees of the fleet. Loads and shares are in mean load units.
+/// Holds the state of the fleet for one placement or rebalancing decision. Loads and shares are in mean load
+/// units.
 struct FleetView {
-    /// A server that needs a look of its own.
+    /// A server that is failing, cold or has a load limit (see DegradedServers).
     struct DegradedServer {
         ServerIndex server;
         double load = 0;
-        double weight = 0;  ///< less for slow start and failures; 0 where it is not counted
-        double share = 0;   ///< by that weight, up to its load limit
+        double weight = 0;  ///< reduced for slow start and failures; 0 if not `is_counted`
+        double share = 0;   ///< in proportion to `weight`, at most `load_limit`
         std::optional<double> load_limit;
-        bool is_counted = false;  ///< has a share
-        bool is_open = false;     ///< may take this request
+        bool is_counted = false;  ///< gets a share
+        bool is_open = false;     ///< may take the request
     };
-    double total_load = 0;                       ///< this balancer's, the request's counted in
-    double counted_weight = 0;                   ///< of all servers that have a share
-    double share_per_weight = 0;                 ///< of a server below its load limit
-    int open_servers = 0;                        ///< that may take the request
-    int slow_servers = 0;                        ///< of these, at their load limits
-    std::optional<ServerIndex> excluded_server;  ///< where the request's last attempt failed
-    double slow_fraction = 0;                    ///< slow_servers over those whose latency is known here
-    bool is_mostly_slow = false;                 ///< much of the fleet is slow
-    std::vector<DegradedServer> degraded;        ///< by ServerState::degraded_index
+    double total_load = 0;                       ///< of this balancer, including the request's load
+    double counted_weight = 0;                   ///< sum over all servers that get a share
+    double share_per_weight = 0;                 ///< for servers below their load limits
+    int open_servers = 0;                        ///< number of servers that may take the request
+    int slow_servers = 0;                        ///< number of open servers at their load limits
+    std::optional<ServerIndex> excluded_server;  ///< server of the request's last attempt, which failed
+    double slow_fraction = 0;                    ///< slow_servers / (servers of known latency + 1)
+    bool is_mostly_slow = false;                 ///< a considerable part of the fleet is slow
+    std::vector<DegradedServer> degraded;        ///< indexed by ServerState::degraded_index
 };
 
-/// Computes views of the fleet.
+/// Computes a FleetView for each decision, and servers' shares in that view.
 class FairShares {
    public:
-    /// All must outlive it.
+    /// The referenced objects must outlive the FairShares.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -51,32 +53,40 @@
           warmup_(parts.warmup),
           degraded_(parts.degraded) {}
 
-    /// The fleet as it is for this request; null: as it is for balancing. Where no server may take the
-    /// request, those in backoff or ejected and the one that failed it last are counted too (panic mode).
-    /// Updates which servers are degraded, and drops warm-up permits that have lapsed.
+    /// Returns the view of the fleet for `request`; for rebalancing if `request` is null. If no server may
+    /// take the request, also counts servers in backoff, ejected servers and the server where the last
+    /// attempt failed (panic mode). Updates the list of degraded servers and drops expired warm-up permits.
     FleetView view(TimePoint now, const RequestState* request);
-    /// The server's share in that view, as long as it is the latest.
+    /// Returns the server's share in `fleet`, which must be the latest view.
     double share(const FleetView&, ServerIndex) const;
-    /// Whether the server may take the request, in that view of it.
+    /// Returns whether the server may take the request; the view must be the latest and computed for that
+    /// request.
     bool may_take(const FleetView&, const RequestState&, ServerIndex) const;
 
    private:
-    /// Whether the server may run the request, whatever state its failures and its slow start are in.
+    /// Returns whether the server may run the request, regardless of its failures and its slow start.
     bool is_candidate(const FleetView&, const RequestState*, ServerIndex) const;
-    /// Whether the request may run at the server, if a first attempt of it may have run elsewhere.
+    /// Returns whether the deduplication scope lets the request run on the server, given that an earlier
+    /// attempt may have run on another server.
     bool is_in_dedup_scope(const RequestState&, const ServerState&) const;
-    /// The servers that the request is bound to by an attempt that may have run.
+    /// Returns the deduplication scope that an attempt that may have run restricts the request to; `all` if
+    /// no attempt may have run.
     DedupScope dedup_scope(const RequestState&) const;
 
-    /// What sound servers get follows from sums kept by event; each server that differs is taken off them.
+    /// Computes the view with or without panic mode. Starts from the sums over all active servers, which are
+    /// updated on events, then subtracts each degraded server and adds it again with its reduced weight.
     FleetView view_in_mode(TimePoint now, const RequestState*, bool panic_mode);
-    void leave_out_others(FleetView&, const RequestState*) const;
-    /// Its share is yet to come, by distribute().
+    /// Subtracts active servers that are no candidates for the request: the excluded server and those outside
+    /// the request's deduplication scope.
+    void exclude_non_candidates(FleetView&, const RequestState*) const;
+    /// Returns the degraded server's entry in the view, with a share of 0 until distribute() computes it.
     FleetView::DegradedServer view_degraded(TimePoint now, ServerIndex, const RequestState*,
                                             bool is_candidate, bool panic_mode);
-    /// Weighted shares, none above its load limit; what a limit keeps off goes to the others by weight.
+    /// Computes weighted shares. A load limit caps a server's share; the load above the limit is distributed
+    /// to the other servers by weight.
     static void distribute(FleetView&);
-    void count_slow(FleetView&, const RequestState*) const;
+    /// Sets `slow_servers`, `slow_fraction` and `is_mostly_slow`.
+    void count_slow_servers(FleetView&, const RequestState*) const;
 
     const PolicyConfig& config_;
     ServerTable& servers_;
--- a/src/policy/gossip_coordinator.h
+++ b/src/policy/gossip_coordinator.h
@@ -1,4 +1,5 @@
-/// What balancers tell one another: publishing this one's load and group locations, taking in the others'.
+/// Exchanges gossip messages with the other balancers: sends this balancer's load and group locations, and
+/// receives theirs.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,9 +17,9 @@
 
 namespace headrouter {
 
-/// Three kinds of messages, each with a part and a pace of its own: the load of all balancers by rounds of
-/// the wall clock (RoundExchange), each server's headroom over all balancers (HeadroomPublisher), and the
-/// locations of groups (LocationPublisher).
+/// Passes each kind of gossip to the component that sends and receives it, each on its own schedule: the load
+/// of all balancers in rounds of the wall clock (RoundExchange), each server's headroom over all balancers
+/// (HeadroomPublisher), and the locations of groups (LocationPublisher).
 class GossipCoordinator {
    public:
     struct State {
@@ -33,7 +34,7 @@
     }
     void restore(State state);
 
-    /// All must outlive it.
+    /// The referenced objects must outlive the GossipCoordinator.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -49,39 +50,39 @@
     GossipCoordinator& operator=(GossipCoordinator&&) = delete;
     ~GossipCoordinator() = default;
 
-    /// The configuration was set or has changed.
+    /// Applies the configuration after it was set or changed.
     void configure();
-    /// A server was listed for the first time.
+    /// Adds a server that was listed for the first time.
     void add_server(const ServerId& id, ServerIndex server) { short_ids_.add(id, server); }
-    /// Another process has taken the server's place: it has no groups.
+    /// Removes the server's group locations after its process was replaced: the new process has no groups.
     void forget_locations(ServerIndex server) { locations_.forget_server(server); }
 
-    // Timers.
+    // Timer handlers.
     void begin_round(TimePoint now) { rounds_.begin_round(now); }
     void sum_round(TimePoint now) { rounds_.sum_round(now); }
     void publish_headroom(TimePoint now) { headroom_.publish(now); }
     void publish_locations() { locations_.publish(); }
 
-    /// A message of another replica. False where it is none that this version understands; nothing is done
-    /// then.
+    /// Handles a message from another replica. Returns false, without any effect, if gossip is disabled,
+    /// `replica` is not another replica, or the message cannot be parsed.
     bool on_message(TimePoint now, int replica, const std::string& bytes);
-    /// A new request earns credit for publishing a location.
+    /// Adds the credit that a new request earns for publishing locations.
     void earn_credit() { locations_.earn_credit(); }
-    /// A member of the group was established on the server.
+    /// Records that a member of the group was established on the server.
     void on_group_placed(TimePoint now, const std::string& group, ServerIndex server) {
         locations_.on_group_placed(now, group, server);
     }
 
-    /// Trust in the published load of the fleet, 0 (none or old) to 1.
+    /// Returns the trust in the published load of the fleet, from 0 (no load published, or too old) to 1.
     double trust(TimePoint now) const { return rounds_.trust(now); }
-    /// Load over all balancers, in mean load units.
+    /// Returns the load over all balancers, in mean load units.
     double fleet_total() const { return rounds_.total_load(); }
-    /// The server that the next connection should go to by its headroom over all balancers, if any. `random`
-    /// lies between 0 and 1.
+    /// Returns the server for the next connection, selected by headroom over all balancers, if there is one.
+    /// `random` is between 0 and 1.
     std::optional<ServerIndex> pick_by_headroom(TimePoint now, double random) {
         return headroom_.pick(now, random);
     }
-    /// Which servers have members of a group at other replicas.
+    /// Returns the known locations of groups: the servers that hold members of each group.
     const LocationPublisher& group_locations() const { return locations_; }
 
    private:
--- a/src/policy/headroom_publisher.cpp
+++ b/src/policy/headroom_publisher.cpp
@@ -25,9 +25,9 @@
     for (const ServerIndex index : servers_.indexes()) {
         const ServerState& server = servers_[index];
         const gossip::ShortServerId short_id = gossip::ShortServerIds::short_id_of(server.endpoint.server);
-        // A short id that two servers share names neither of them.
-        const bool is_named = short_ids_.find(short_id) == index;
-        if (!is_named || !eligibility::takes_new_requests(server.endpoint.state)) continue;
+        // A short id that two servers share identifies neither of them.
+        const bool has_unique_short_id = short_ids_.find(short_id) == index;
+        if (!has_unique_short_id || !eligibility::takes_new_requests(server.endpoint.state)) continue;
         eligible.push_back({index, short_id, ServerTable::listed_weight(server)});
         if (reports_as_degraded(now, server))
             own.push_back({index, gossip::degraded_marker});
--- a/src/policy/headroom_publisher.h
+++ b/src/policy/headroom_publisher.h
@@ -1,4 +1,4 @@
-/// Each server's headroom over all balancers, told from balancer to balancer.
+/// Exchanges load reports and each server's headroom over all balancers.
 #pragma once
 #include <optional>
 #include <utility>
@@ -11,18 +11,18 @@
 
 namespace headrouter {
 
-/// Feeds the aggregator of fleet loads with this balancer's loads and sends its messages.
+/// Passes this balancer's loads to the FleetLoadAggregator and sends the aggregator's messages.
 class HeadroomPublisher {
    public:
     struct State {
         fleet_load::FleetLoadAggregator aggregator;
-        bool has_timer = false;  ///< the timer of the next tick is set
+        bool has_timer = false;  ///< whether the timer for the next tick is set
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// All must outlive it.
+    /// The referenced objects must outlive the HeadroomPublisher.
     struct Parts {
         const PolicyConfig& config;
         const ServerTable& servers;
@@ -37,21 +37,23 @@
           short_ids_(parts.short_ids),
           actions_(parts.actions) {}
 
-    /// The configuration was set or has changed.
+    /// Applies the configuration after it was set or changed.
     void configure();
-    /// A tick: reports the own loads where that is due, and as the aggregator the headroom.
+    /// Handles a tick: reports this balancer's loads if a report is due and, if this balancer is the
+    /// aggregator, sends the headroom.
     void publish(TimePoint now);
-    /// A report or headroom of another balancer.
+    /// Handles a load report or headroom message from another balancer.
     void on_message(TimePoint now, int replica, const gossip::Message&);
-    /// The server that the next connection should go to by its headroom, if any. `random` lies between 0
-    /// and 1.
+    /// Returns the server for the next connection, selected by headroom, if there is one. `random` is between
+    /// 0 and 1.
     std::optional<ServerIndex> pick(TimePoint now, double random) {
         return state_.aggregator.pick(now, random);
     }
 
    private:
-    /// Whether to publish the marker of a degraded server in place of a load: the server is failing, or slow
-    /// at the load that this balancer has there.
+    /// Returns whether to publish the marker of a degraded server instead of a load: the server is failing,
+    /// or its load limit is below the larger of this balancer's load there and the server's full share. A
+    /// limit does not count while the server has a steady low latency.
     bool reports_as_degraded(TimePoint now, const ServerState&) const;
 
     const PolicyConfig& config_;
--- a/src/policy/load_limit.cpp
+++ b/src/policy/load_limit.cpp
@@ -7,9 +7,9 @@
 
 LoadLimit::Surplus LoadLimit::on_latency_report(TimePoint now, double latency_seconds, Duration objective,
                                                 const Usage& usage, Pcg32& random) {
-    const double demanded = demand(now, latency_seconds);
-    const bool is_slow = latency_seconds >= to_seconds(objective) * slow_part_of_objective;
-    state_.has_steady_low_latency = !is_slow && latency_seconds <= state_.latency * steady_growth;
+    const double current_demand = demand(now, latency_seconds);
+    const bool is_slow = latency_seconds >= to_seconds(objective) * slow_objective_fraction;
+    state_.has_steady_low_latency = !is_slow && latency_seconds <= state_.latency * max_steady_growth;
     state_.reported_at = now;
     state_.latency = latency_seconds;
     if (!is_slow) {
@@ -17,10 +17,10 @@
         return {};
     }
     const double connections = std::max(1.0, static_cast<double>(usage.connections));
-    const double surplus_part = 1 - std::min(1.0, wanted_utilization(latency_seconds) / demanded);
-    const double migrations = std::floor(connections * surplus_part + random.uniform());
+    const double surplus_fraction = 1 - std::min(1.0, wanted_utilization(latency_seconds) / current_demand);
+    const double migrations = std::floor(connections * surplus_fraction + random.uniform());
     const double limit = usage.load - usage.load * migrations / connections;
-    // Where the server has many of this balancer's connections, rounding hardly matters.
+    // The rounding is smaller for a large full share: with many connections, it hardly matters.
     state_.rounding = random.uniform() / std::max(1.0, std::pow(usage.full_share, 2));
     lower_to(now, limit, usage.full_share);
     return {usage.load - limit, static_cast<int>(migrations)};
@@ -28,16 +28,16 @@
 
 double LoadLimit::demand(TimePoint now, double latency_seconds) const {
     const Duration gap = now - state_.reported_at;
-    const bool is_comparable = state_.reported_at.ns > 0 && gap < longest_gap;
-    // Without a recent report, all of the latency counts as grown in one second.
+    const bool is_comparable = state_.reported_at.ns > 0 && gap < max_report_gap;
+    // Without a recent report, the whole latency counts as growth within one second.
     const double latency_growth =
-        is_comparable ? (latency_seconds - state_.latency) / to_seconds(std::max(gap, shortest_gap))
+        is_comparable ? (latency_seconds - state_.latency) / to_seconds(std::max(gap, min_report_gap))
                       : latency_seconds;
-    return std::clamp(1 + latency_growth, least_demand, most_demand);
+    return std::clamp(1 + latency_growth, min_demand, max_demand);
 }
 
 double LoadLimit::wanted_utilization(double latency_seconds) {
-    return std::max(least_utilization, target_utilization - latency_seconds / to_seconds(backlog_time));
+    return std::max(min_utilization, target_utilization - latency_seconds / to_seconds(backlog_drain_time));
 }
 
 void LoadLimit::on_reset(TimePoint now, double load, double full_share) {
@@ -54,10 +54,11 @@
     if (!is_set()) return std::nullopt;
     const Duration age = now - state_.limited_at;
     if (age > limit_lifetime) return std::nullopt;
-    // A sound server keeps room for its part of what other servers lose. A limit from the time when it was
-    // slow would leave all of that to the few servers without one.
-    const double least = state_.has_steady_low_latency ? full_share * mild_part_of_share : 0;
-    return std::max(least, *state_.limit + to_seconds(age) * growth_per_second * full_share);
+    // A server with a steady low latency must be able to take its part of the load that other servers lose.
+    // If its limit from an earlier slow period still applied, the few servers without a limit would get all
+    // of that load.
+    const double min_limit = state_.has_steady_low_latency ? full_share * steady_low_latency_share : 0;
+    return std::max(min_limit, *state_.limit + to_seconds(age) * growth_per_second * full_share);
 }
 
 }  // namespace headrouter
--- a/src/policy/load_limit.h
+++ b/src/policy/load_limit.h
@@ -1,4 +1,4 @@
-/// The load above which one server is known to answer slowly.
+/// Estimates the load above which one server answers slowly.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -8,19 +8,19 @@
 
 namespace headrouter {
 
-/// Finds one server's load limit from the latency that it reports and from the connections that it drops, and
-/// lets the limit rise again over time.
+/// Derives one server's load limit from the latency that the server reports and from the connections that it
+/// resets, and raises the limit again over time.
 ///
-/// Latency is work that has piled up: its growth in a second is what the server was asked beyond what it can
-/// do. Every balancer hears the same latency and migrates the same part of its connections off, so none needs
-/// to know what the others have there.
+/// Latency reflects the server's backlog: the growth of the latency per second is the demand in excess of the
+/// server's capacity. Every balancer receives the same latency reports and migrates the same fraction of its
+/// connections off, so no balancer needs to know the load of the others on the server.
 ///
-/// Loads are in mean load units, of this balancer's connections alone.
+/// Loads are in mean load units and cover only this balancer's connections.
 class LoadLimit {
    public:
     struct State {
-        TimePoint reported_at;  ///< the latest latency report
-        double latency = 0;     ///< in seconds, as last reported
+        TimePoint reported_at;  ///< time of the latest latency report
+        double latency = 0;     ///< latest reported latency, in seconds
         bool has_steady_low_latency = false;
         std::optional<double> limit;  ///< as of `limited_at`
         TimePoint limited_at;
@@ -30,71 +30,76 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(const State& state) { state_ = state; }
 
-    /// What this balancer has on the server as a latency report arrives.
+    /// This balancer's load and connections on the server when a latency report arrives.
     struct Usage {
         double load;
         size_t connections;
-        double full_share;  ///< what the server's weight alone would give it
+        double full_share;  ///< share that the server's weight alone would give it
     };
-    /// What is to be migrated off after a latency report; no connections: nothing.
+    /// The load to migrate off after a latency report; nothing is to be migrated if `connections` is 0.
     struct Surplus {
         double load = 0;
         int connections = 0;
     };
 
-    /// The server's messages last took `latency_seconds`; `objective` is the strictest message objective of
-    /// any request class. Draws two numbers of `random` if the server is slow, none otherwise.
+    /// Updates the limit from the latest latency of the server's messages and returns the surplus.
+    /// `objective` is the strictest message latency objective of any request class. Draws two numbers from
+    /// `random` if the server is slow, none otherwise.
     Surplus on_latency_report(TimePoint now, double latency_seconds, Duration objective, const Usage&,
                               Pcg32& random);
-    /// The server dropped a connection and is left with `load`, which becomes its limit. A server that is
-    /// asked too much drops its newest connections; a balancer that had only those gets no more latency
-    /// reports from it, and would send them there again.
+    /// Lowers the limit to `load`, the load that remains after the server reset a connection. An overloaded
+    /// server resets its newest connections; a balancer that had only those receives no more latency reports
+    /// from the server, and without a limit would send the connections there again.
     void on_reset(TimePoint now, double load, double full_share);
-    /// Another process has taken the server's place.
-    void lift() { state_.limit.reset(); }
+    /// Removes the limit after the server's process was replaced.
+    void clear() { state_.limit.reset(); }
 
-    /// The limit now, if there is one.
+    /// Returns the limit at `now`, if there is one.
     std::optional<double> at(TimePoint now, double full_share) const;
-    /// Whether there may be a limit: where false, at() has none, and the full share need not be summed up. A
-    /// limit below zero, which sums of loads can end at, counts as none.
+    /// Returns whether there may be a limit. If false, at() returns no limit, and the caller need not compute
+    /// the full share. A limit below zero, which rounding errors in sums of loads can produce, counts as
+    /// none.
     bool is_set() const { return state_.limit && *state_.limit >= 0; }
-    /// A random part of a connection, added to the limit. Many balancers have one connection or none on a
-    /// server; rounded by chance, their whole connections add up to what the server can do, while all rounded
-    /// down would leave it empty.
+    /// Returns a random fraction of a connection to add to the limit. Many balancers have one connection or
+    /// none on a server. With random rounding, their connections together match the server's capacity; if all
+    /// balancers rounded down, the server would be left empty.
     double rounding() const { return state_.rounding; }
-    /// Whether the last latency was short and no longer than the one before: load has no part in it.
+    /// Returns whether the latest latency was below the slow threshold and had not grown since the report
+    /// before, so that load is not its cause.
     bool has_steady_low_latency() const { return state_.has_steady_low_latency; }
 
    private:
-    /// A server is slow from this part of the message objective on.
-    static constexpr double slow_part_of_objective = 0.8;
-    /// The part of a server's capacity that is to be used while it has no backlog.
+    /// A server is slow if its latency is at least this fraction of the message latency objective.
+    static constexpr double slow_objective_fraction = 0.8;
+    /// Target fraction of a server's capacity in use while the server has no backlog.
     static constexpr double target_utilization = 0.85;
-    /// The least part of it, however long the backlog.
-    static constexpr double least_utilization = 0.3;
-    /// A backlog is to be worked off within this time.
-    static constexpr Duration backlog_time = seconds(5);
-    /// A latency up to so many times the one before has not grown.
-    static constexpr double steady_growth = 1.05;
-    /// The part of its full share that a mild server keeps.
-    static constexpr double mild_part_of_share = 0.7;
-    /// Reports further apart than this say nothing of how latency grows.
-    static constexpr Duration longest_gap = seconds(2.5);
-    /// Reports closer together than this count as this far apart.
-    static constexpr Duration shortest_gap = seconds(0.2);
-    /// What a server may be found to be asked, as parts of its capacity.
-    static constexpr double least_demand = 0.5;
-    static constexpr double most_demand = 2.5;
-    /// The part of the server's full share by which its limit rises each second.
+    /// Lower bound of the wanted utilization, however long the backlog.
+    static constexpr double min_utilization = 0.3;
+    /// Latency divided by this time is subtracted from the target utilization, so that a backlog is worked
+    /// off within it.
+    static constexpr Duration backlog_drain_time = seconds(5);
+    /// A latency of up to this multiple of the previous one counts as not grown.
+    static constexpr double max_steady_growth = 1.05;
+    /// Fraction of its full share that a server with a steady low latency keeps.
+    static constexpr double steady_low_latency_share = 0.7;
+    /// Reports this far apart or further are not compared to compute the latency's growth.
+    static constexpr Duration max_report_gap = seconds(2.5);
+    /// Lower bound of the time between two reports in the computation of the latency's growth.
+    static constexpr Duration min_report_gap = seconds(0.2);
+    /// Bounds of the estimated demand, as multiples of the server's capacity.
+    static constexpr double min_demand = 0.5;
+    static constexpr double max_demand = 2.5;
+    /// Fraction of the server's full share by which its limit rises each second.
     static constexpr double growth_per_second = 0.04;
-    /// A limit ends after this time.
+    /// A limit expires after this time.
     static constexpr Duration limit_lifetime = seconds(30);
 
-    /// What the server was asked since the last report, as a part of its capacity.
+    /// Returns the demand on the server since the last report, as a multiple of its capacity.
     double demand(TimePoint now, double latency_seconds) const;
-    /// The part of its capacity that the server should be asked for a while, so that its backlog goes.
+    /// Returns the fraction of its capacity that the server should be used at until its backlog is worked
+    /// off.
     static double wanted_utilization(double latency_seconds);
-    /// Sets the limit to `load`, unless it is lower already.
+    /// Sets the limit to `load`, unless the present limit is lower.
     void lower_to(TimePoint now, double load, double full_share);
 
     State state_;
--- a/src/policy/location_publisher.cpp
+++ b/src/policy/location_publisher.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-/// What a new request earns, in bytes over all balancers that read them.
+/// Credit that a new request earns, in bytes summed over all receiving balancers.
 constexpr double credit_per_request = 60;
-/// What one location costs each balancer that reads it, with its part of the message.
+/// Bytes that one location costs for each receiving balancer, including its part of the message's overhead.
 constexpr double bytes_per_location = 12;
-/// A location is published again after so long.
-constexpr Duration republished_after = seconds(60);
-/// Soon, as a crowd comes back within a second; but by chance, so that few balancers publish the same.
-constexpr Duration published_within = seconds(0.05);
-/// A published location counts for so long.
+/// Minimum time between two publications of the same location.
+constexpr Duration republish_interval = seconds(60);
+/// Upper bound of the random delay before publishing. Short, because many clients can reconnect within a
+/// second; random, so that few balancers publish the same location.
+constexpr Duration max_publish_delay = seconds(0.05);
+/// Time for which a published location counts.
 constexpr Duration location_lifetime = seconds(120);
 
 uint32_t short_hash(const std::string& group) {
@@ -36,14 +37,15 @@
 void LocationPublisher::on_group_placed(TimePoint now, const std::string& group, ServerIndex server) {
     if (!config_.gossip_enabled || group.empty()) return;
     gossip::GroupLocation& location = state_.locations.find_or_add(short_hash(group), server);
-    if (location.announcement_pending || now - location.announced_at < republished_after) return;
+    if (location.announcement_pending || now - location.announced_at < republish_interval) return;
     location.announced_at = now;
     if (is_first_choice(now, group, server)) return;
     location.announcement_pending = true;
     state_.unpublished.push_back({short_hash(group), server});
     if (state_.has_timer) return;
     state_.has_timer = true;
-    actions_.set_timer(now + published_within * random_.uniform(), timer_token(TimerKind::publish_locations));
+    actions_.set_timer(now + max_publish_delay * random_.uniform(),
+                       timer_token(TimerKind::publish_locations));
 }
 
 bool LocationPublisher::is_first_choice(TimePoint now, const std::string& group, ServerIndex server) {
--- a/src/policy/location_publisher.h
+++ b/src/policy/location_publisher.h
@@ -1,4 +1,5 @@
-/// Which servers hold members of which affinity groups, told from balancer to balancer.
+/// Exchanges the locations of affinity groups, the servers that hold members of each group, between
+/// balancers.
 #pragma once
 #include <string>
 #include <utility>
@@ -14,26 +15,28 @@
 
 namespace headrouter {
 
-/// A balancer with a handful of connections has none of most groups, and would open each group on one more
-/// server. So the first balancer to place a member on a server publishes that, as far as the messages are
-/// paid for: each new request earns a credit in bytes. The first choice of a group's ranking need not be
-/// published, as it is one of every balancer's preferred servers.
+/// Publishes this balancer's group locations and keeps those that others have published.
+///
+/// A balancer with only a few connections has no member of most groups and would place each group on an
+/// additional server. Therefore the first balancer to place a member on a server publishes the location,
+/// within a budget for messages: each new request earns a credit in bytes. The first selectable server of a
+/// group's ranking need not be published, because it is one of every balancer's preferred servers.
 class LocationPublisher {
    public:
-    /// The credit that is saved up at the most, in bytes over all balancers that read them.
+    /// Upper bound of the saved credit, in bytes summed over all receiving balancers.
     static constexpr double most_credit = 2400;
 
     struct State {
         gossip::GroupLocations locations;
         std::vector<gossip::GroupPlacement> unpublished;
         double credit = most_credit;
-        bool has_timer = false;  ///< the timer for the next message is set
+        bool has_timer = false;  ///< whether the timer for the next message is set
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// All must outlive it.
+    /// The referenced objects must outlive the LocationPublisher.
     struct Parts {
         const PolicyConfig& config;
         const ServerTable& servers;
@@ -50,24 +53,26 @@
           actions_(parts.actions),
           random_(parts.random) {}
 
-    /// A new request arrived.
+    /// Adds the credit that a new request earns.
     void earn_credit();
-    /// A member of the group was established on the server: publishes that soon, unless the others know.
+    /// Handles the establishment of a member of the group on the server: schedules publishing of the
+    /// location, unless it was published recently or the server is the group's first choice.
     void on_group_placed(TimePoint now, const std::string& group, ServerIndex);
-    /// Sends the locations that wait, as far as the credit goes.
+    /// Sends the unpublished locations that the credit covers.
     void publish();
-    /// What another balancer has published.
+    /// Records locations that another balancer has published.
     void on_published(TimePoint now, const std::vector<gossip::GroupLocationRow>&);
-    /// Another process has taken the server's place: it has no groups.
+    /// Removes the server's locations after its process was replaced: the new process has no groups.
     void forget_server(ServerIndex server) { state_.locations.remove_server(server); }
 
-    /// The known locations of a group, also this balancer's own and old ones (see is_current); none where
-    /// gossip is off. Valid until the next change.
+    /// Returns the known locations of a group, including this balancer's own and old ones (see is_current);
+    /// an empty list if gossip is disabled. The reference is valid until the next change.
     const std::vector<gossip::GroupLocation>& locations_of(const std::string& group) const;
-    /// Whether another balancer has published the location and not too long ago.
+    /// Returns whether another balancer has published the location within its lifetime.
     static bool is_current(TimePoint now, const gossip::GroupLocation&);
 
    private:
+    /// Returns whether the server is the first selectable one in the group's ranking.
     bool is_first_choice(TimePoint now, const std::string& group, ServerIndex);
 
     const PolicyConfig& config_;
--- a/src/policy/rebalance_cycle.cpp
+++ b/src/policy/rebalance_cycle.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-/// From a cycle's begin until saturated servers are drained, so that its first arrivals are placed before.
-constexpr Duration drain_grace = seconds(0.5);
-/// A smaller excess is left alone, in mean load units: where shares are below one connection, a few members
-/// of one group together are an excess on any server.
-constexpr double least_excess = 10;
-/// Migrations a cycle off a server that is drained. More would empty it where each balancer has a handful
-/// of connections on a server.
-constexpr int fewest_migrations = 1;
-
-/// The load that a server has with a group, whatever its members, in mean load units.
+/// Time from a cycle's start until saturated servers are drained, so that the first requests of the cycle are
+/// placed before.
+constexpr Duration drain_delay = seconds(0.5);
+/// Minimum excess that is migrated off, in mean load units. Where shares are below one connection, a few
+/// members of one group together would be an excess on any server.
+constexpr double min_excess = 10;
+/// Minimum number of migrations per cycle off a server that is drained. A larger number would empty the
+/// server where each balancer has only a few connections on it.
+constexpr int min_migrations = 1;
+
+/// Load that a group causes on a server in addition to the load of its members, in mean load units.
 constexpr double group_load = 4;
-/// How much less the migration of a protected connection is worth, in mean load units.
+/// Reduction of the value of migrating a protected connection, in mean load units.
 constexpr double protection_cost = group_load * 4;
 
 }  // namespace
@@ -34,7 +35,7 @@
 void RebalanceCycle::begin(TimePoint now) {
     eject_outliers(now);
     warmup_.on_cycle();
-    actions_.set_timer(now + drain_grace, timer_token(TimerKind::plan_migrations));
+    actions_.set_timer(now + drain_delay, timer_token(TimerKind::plan_migrations));
     start(now);
 }
 
@@ -68,14 +69,14 @@
     const double load = loads_.load_on(server);
     const double excess = load - share;
     const bool is_balanced = load <= share * saturation_band;
-    if (is_balanced) server.drain.set_protected_first(true);  // their protection has ended
-    if (is_balanced || excess < least_excess) return;
+    if (is_balanced) server.drain.set_protected_first(true);  // connections are no longer protected
+    if (is_balanced || excess < min_excess) return;
     const double largest = server.drain.record_excess(now, excess);
     const double part_of_cycle = largest / cycle_clock::cycles_remembered;
-    const int migrations = std::max(fewest_migrations, static_cast<int>(std::ceil(part_of_cycle)));
-    // A migration is taken to free one mean load unit.
+    const int migrations = std::max(min_migrations, static_cast<int>(std::ceil(part_of_cycle)));
+    // A migration is assumed to free one mean load unit.
     const double surplus = std::min<double>(migrations, excess);
-    start_drain(now, index, surplus, migrations, cycle_clock::active_time - drain_grace);
+    start_drain(now, index, surplus, migrations, cycle_clock::active_time - drain_delay);
 }
 
 void RebalanceCycle::start_drain(TimePoint now, ServerIndex server, double load, int steps,
@@ -102,16 +103,16 @@
     const std::optional<double> limit = loads_.rounded_load_limit(now, server);
     const bool is_slow = limit && *limit < loads_.load_on(server);
     const RequestState* best = nullptr;
-    double most_freed = 0;
+    double best_value = 0;
     for (size_t k = 0; k < count; ++k) {
         const RequestState& request = requests_.at(server.connections[(first + k) % count]);
         if (request.attempts.empty() || !request.attempts.back().established) continue;
         if (request.is_protected && server.drain.protected_go_first()) return request.id;
         if (request.is_protected && !is_slow) continue;
-        const double freed = load_freed_by(request, server) - (request.is_protected ? protection_cost : 0);
-        if (best && !(freed > most_freed)) continue;
+        const double value = load_freed_by(request, server) - (request.is_protected ? protection_cost : 0);
+        if (best && !(value > best_value)) continue;
         best = &request;
-        most_freed = freed;
+        best_value = value;
     }
     return best ? best->id : 0;
 }
--- a/src/policy/rebalance_cycle.h
+++ b/src/policy/rebalance_cycle.h
@@ -1,5 +1,5 @@
-/// The rebalance cycle: once a cycle outliers are ejected, and servers above their share have a surplus
-/// migrated off during the cycle's active phase.
+/// Runs the rebalance cycle: once per cycle, ejects outliers and migrates surplus off servers above their
+/// share during the cycle's active phase.
 #pragma once
 #include "affinity/group_table.h"
 #include "base/pcg32.h"
@@ -12,16 +12,17 @@
 
 namespace headrouter {
 
-/// Decides which connections are migrated off which server, and when. The migrations themselves are up to the
-/// caller: for each migrate_next timer select(), then migrate the connection, then on_migrated().
+/// Decides which connections are migrated off which server, and when. The caller performs the migrations: on
+/// each migrate_next timer, the caller calls select(), migrates the returned connection and calls
+/// on_migrated().
 ///
 /// Loads are in mean load units.
 class RebalanceCycle {
    public:
-    /// A server is saturated above so many times its share.
+    /// A server is saturated if its load exceeds this multiple of its share.
     static constexpr double saturation_band = 1.05;
 
-    /// All must outlive it.
+    /// The referenced objects must outlive the RebalanceCycle.
     struct Parts {
         ServerTable& servers;
         const ServerLoads& loads;
@@ -46,32 +47,35 @@
 
     /// Sets the timer for the first cycle after `now`.
     void start(TimePoint now);
-    /// A cycle begins: judges the last one and sets the timers of this and the next.
+    /// Begins a cycle: ejects the outliers of the last cycle, and sets the timers for this cycle's migrations
+    /// and for the next cycle.
     void begin(TimePoint now);
-    /// Ejects the servers that kept almost nothing of what they were sent in the last cycle. Where there are
-    /// any, what was remembered of surpluses and protected connections no longer holds.
+    /// Ejects the servers that kept almost none of the attempts sent to them in the last cycle. If any server
+    /// is ejected, clears the recorded excesses and the protection of connections, which no longer apply.
     void eject_outliers(TimePoint now);
-    /// Finds the servers above their share and starts to drain their surplus.
+    /// Starts to drain the surplus of each server above its share.
     void plan_migrations(TimePoint now);
-    /// Migrates `load` off a server in about so many steps within `duration`.
+    /// Starts to migrate `load` off a server in about `steps` steps within `duration`.
     void start_drain(TimePoint now, ServerIndex, double load, int steps, Duration duration);
 
-    /// The next connection to migrate off the server; zero: none, and the drain has ended.
+    /// Returns the next connection to migrate off the server; 0 if there is none, and the drain has ended.
     RequestId select(TimePoint now, ServerIndex);
-    /// The selected connection, of that load, was migrated.
+    /// Records that the selected connection was migrated, which had the given load.
     void on_migrated(TimePoint now, ServerIndex, double load);
-    /// The connection whose migration off the server is worth most; zero: none.
+    /// Returns the connection whose migration off the server has the highest value; 0 if there is none.
     ///
-    /// Protected connections stay until their server is balanced and go first after that. Of the others, the
-    /// one that frees most load goes, as each migration has a price. Protection is from balancing: on a slow
-    /// server, where nobody is served well, it only means going last.
+    /// Protected connections stay until their server is balanced, and are migrated first after that. Of the
+    /// others, the one that frees the most load is selected, because each migration has a cost. Protection
+    /// applies to balancing only: on a slow server, where all connections are served badly, protected
+    /// connections are merely migrated last.
     RequestId select_migration(TimePoint now, const ServerState&);
 
    private:
-    /// Starts to drain the server if it is too far above `share`.
+    /// Starts to drain the server if its load is too far above `share`.
     void plan_drain(TimePoint now, ServerIndex, double share);
-    /// What the server gains by the connection's end. More than the surplus is no gain; a group's last member
-    /// takes the group's own load along.
+    /// Returns the load that the server saves without the connection. Load beyond the remaining surplus does
+    /// not count. The group's own load is divided among its members on the server, so the last member frees
+    /// all of it.
     double load_freed_by(const RequestState&, const ServerState&) const;
 
     ServerTable& servers_;
--- a/src/policy/round_exchange.cpp
+++ b/src/policy/round_exchange.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Balancers send their loads within this time after a round's start.
-constexpr Duration loads_sent_within = seconds(0.1);
-/// The reporter sends the sum so long after a round's start.
-constexpr Duration sum_sent_after = seconds(0.25);
-/// A server with more than so many times the mean load is named in a sum.
-constexpr double named_over_mean = 1.5;
+/// Upper bound of the random delay between a round's start and the sending of loads.
+constexpr Duration max_load_send_delay = seconds(0.1);
+/// Delay between a round's start and the sending of the sum.
+constexpr Duration sum_delay = seconds(0.25);
+/// A sum lists the servers whose load exceeds this multiple of the mean load.
+constexpr double listed_mean_multiple = 1.5;
 
 }  // namespace
 
@@ -29,13 +29,13 @@
     state_.has_timer = config_.gossip_enabled;
     if (!state_.has_timer) return;
     const int64_t round = round_at(now);
-    actions_.set_timer(round_start(round + 1) + loads_sent_within * random_.uniform(),
+    actions_.set_timer(round_start(round + 1) + max_load_send_delay * random_.uniform(),
                        timer_token(TimerKind::gossip_round));
-    // Where headroom is published, only the placement of groups needs the sums.
+    // If headroom is published, only the placement of groups needs the sums.
     if (config_.aggregates_fleet_load && !config_.groups) return;
     const int reporter = reporter_of(round);
     if (is_own(reporter)) {
-        actions_.set_timer(round_start(round) + sum_sent_after, timer_token(TimerKind::gossip_sum));
+        actions_.set_timer(round_start(round) + sum_delay, timer_token(TimerKind::gossip_sum));
         return;
     }
     const gossip::RoundSum own{round, 1, loads_.total(), own_loads()};
@@ -50,12 +50,13 @@
     const double total = tally.total_load();
     const double mean = total / std::max(1, servers_.active_count());
     const gossip::RoundSum sum{round, tally.reporter_count(), total,
-                               tally.loads_above(mean * named_over_mean)};
+                               tally.loads_above(mean * listed_mean_multiple)};
     actions_.send_gossip(everyone_else, encode(gossip::MessageKind::round_sum, sum));
     on_sum(now, sum);
 }
 
-// A message names its round without the high bits. It is taken to be one of the rounds around the present.
+// A message carries its round modulo round_modulus. The round is looked up among the previous, the present
+// and the next round.
 void RoundExchange::on_loads(TimePoint now, int replica, const gossip::Message& message) {
     const int64_t next_round = round_at(now) + 1;
     int64_t round = next_round - 2;
--- a/src/policy/round_exchange.h
+++ b/src/policy/round_exchange.h
@@ -1,4 +1,4 @@
-/// The load of all balancers, summed by one of them in each round.
+/// Sums the load of all balancers, in each round at one of them.
 #pragma once
 #include <string>
 #include <utility>
@@ -13,20 +13,21 @@
 
 namespace headrouter {
 
-/// Once a round, by the wall clock, each balancer sends its loads to the round's reporter, and that one sends
-/// all of them the sum: two messages a balancer and round. The reporter changes with each round, so one that
-/// is dead costs a round only. What is believed of a sum is up to gossip::GossipRounds.
+/// Exchanges loads once per round of the wall clock: each balancer sends its loads to the round's reporter,
+/// and the reporter sends the sum to all balancers, which makes two messages per balancer and round. The
+/// reporter changes with each round, so a dead reporter costs one round only. gossip::GossipRounds decides
+/// whether to accept a sum.
 class RoundExchange {
    public:
     struct State {
         gossip::GossipRounds rounds;
-        bool has_timer = false;  ///< the timer of the next round is set
+        bool has_timer = false;  ///< whether the timer for the next round is set
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// All must outlive it.
+    /// The referenced objects must outlive the RoundExchange.
     struct Parts {
         const PolicyConfig& config;
         ServerTable& servers;
@@ -43,18 +44,19 @@
           actions_(parts.actions),
           random_(parts.random) {}
 
-    /// The configuration was set or has changed.
+    /// Applies the configuration after it was set or changed.
     void configure();
-    /// A round has begun: sends the own loads, or waits for the others' as its reporter.
+    /// Begins a round: sends this balancer's loads to the reporter or, if this balancer is the reporter, sets
+    /// the timer for the sum.
     void begin_round(TimePoint now);
-    /// As the round's reporter: sends the sum of what has come.
+    /// Sends the sum of the received loads and this balancer's, as the round's reporter.
     void sum_round(TimePoint now);
-    /// Loads of another balancer, or a sum.
+    /// Handles the loads of another balancer, or a reporter's sum.
     void on_loads(TimePoint now, int replica, const gossip::Message&);
 
-    /// Trust in the load of the fleet as published, 0 (none or old) to 1.
+    /// Returns the trust in the published load of the fleet, from 0 (no load published, or too old) to 1.
     double trust(TimePoint now) const;
-    /// Load over all balancers, in mean load units.
+    /// Returns the load over all balancers, in mean load units.
     double total_load() const { return state_.rounds.total_load(); }
 
    private:
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -4,7 +4,7 @@
 
 void ServerHealth::begin_slow_start(TimePoint now, ServerIndex index, TimePoint started) {
     servers_[index].slow_start.begin(now, started);
-    servers_[index].load_limit.lift();
+    servers_[index].load_limit.clear();
     degraded_.mark(index);
 }
 
@@ -22,7 +22,7 @@
         return;
     }
     server.slow_start.expect_restart();
-    server.load_limit.lift();
+    server.load_limit.clear();
 }
 
 void ServerHealth::record_established(TimePoint now, ServerIndex index) {
--- a/src/policy/server_health.h
+++ b/src/policy/server_health.h
@@ -1,4 +1,4 @@
-/// What events tell of the health of single servers.
+/// Updates the health state of servers on events.
 #pragma once
 #include "base/pcg32.h"
 #include "policy/degraded_servers.h"
@@ -7,24 +7,25 @@
 
 namespace headrouter {
 
-/// Hands each event on to the parts of its server that learn from it (OutlierDetector, LoadLimit, SlowStart)
-/// and marks the server as degraded where it is. Keeps nothing itself.
+/// Passes each event to the affected components of its server (OutlierDetector, LoadLimit, SlowStart) and
+/// marks the server as degraded where needed. Has no state of its own.
 class ServerHealth {
    public:
-    /// All must outlive it.
+    /// The arguments must outlive this object.
     ServerHealth(ServerTable& servers, const ServerLoads& loads, DegradedServers& degraded)
         : servers_(servers), loads_(loads), degraded_(degraded) {}
 
-    /// The server's process started at `started`.
+    /// Begins the slow start of a server whose process started at `started`.
     void begin_slow_start(TimePoint now, ServerIndex, TimePoint started);
-    /// An attempt that was not established has failed; `penalty` as of OutlierDetector::on_failure.
+    /// Records the failure of an attempt that was not established; for `penalty` see
+    /// OutlierDetector::on_failure.
     void record_failure(TimePoint now, ServerIndex, double penalty);
-    /// An established connection was broken.
+    /// Records the reset of an established connection.
     void record_reset(TimePoint now, ServerIndex);
-    /// A pending attempt was established. A server that broke all it had and answers again is a new process,
-    /// cold, before the list says so.
+    /// Records that a pending attempt was established. If the server had reset all its connections before, it
+    /// now runs a new process and begins its slow start, before the endpoint list reports the restart.
     void record_established(TimePoint now, ServerIndex);
-    /// A message last took `latency_seconds` at the server. Returns what is to be migrated off.
+    /// Records the latest message latency of the server. Returns the surplus to migrate off.
     LoadLimit::Surplus record_latency(TimePoint now, ServerIndex, double latency_seconds, Duration objective,
                                       Pcg32&);
 
--- a/src/policy/server_loads.cpp
+++ b/src/policy/server_loads.cpp
@@ -5,8 +5,8 @@
 namespace headrouter {
 
 namespace {
-/// Keeps quotients finite where no server has a weight.
-constexpr double least_weight = 1e-9;
+/// Lower bound of a weight sum used as a divisor, for fleets in which no server has a weight.
+constexpr double min_weight = 1e-9;
 
 constexpr double ns_per_microsecond = 1000;
 }  // namespace
@@ -17,11 +17,11 @@
     state_.class_loads.add_report(request.type, *request.load);
 }
 
-void ServerLoads::record_load(RequestState& request, double micros_a_second) {
+void ServerLoads::record_load(RequestState& request, double micros_per_second) {
     for (ConnectionLoad* load : {&servers_[request.attempts.back().server].load, &state_.total})
-        load->report(request.type, request.load, micros_a_second);
-    request.load = micros_a_second;
-    state_.class_loads.add_report(request.type, micros_a_second);
+        load->report(request.type, request.load, micros_per_second);
+    request.load = micros_per_second;
+    state_.class_loads.add_report(request.type, micros_per_second);
 }
 
 void ServerLoads::add_connection(ServerIndex index, RequestState& request) {
@@ -50,7 +50,7 @@
 }
 
 double ServerLoads::full_share(const ServerState& server) const {
-    return total() * server.weight / std::max(servers_.active_weight(), least_weight);
+    return total() * server.weight / std::max(servers_.active_weight(), min_weight);
 }
 
 std::optional<double> ServerLoads::load_limit(TimePoint now, const ServerState& server) const {
--- a/src/policy/server_loads.h
+++ b/src/policy/server_loads.h
@@ -1,4 +1,4 @@
-/// The load that this balancer has on each server and on all.
+/// Tracks this balancer's load on each server and in total.
 #pragma once
 #include <optional>
 #include <utility>
@@ -10,12 +10,12 @@
 
 namespace headrouter {
 
-/// Keeps the load of each server, and their sum, in step with each connection, so that no request costs a
-/// pass over a large fleet.
+/// Updates the load of each server, and the total, whenever a connection is added, removed or reported, so
+/// that no request requires an iteration over a large fleet.
 ///
 /// Loads are in mean load units: 1 is the load of the mean connection of this balancer. A connection counts
-/// by its reported load, else by what its request class was seen to need: numbers of connections do not
-/// mirror load where classes differ in it.
+/// with its reported load or, without a report, with the mean reported load of its request class: the number
+/// of connections does not reflect the load where the load of the classes differs.
 class ServerLoads {
    public:
     struct State {
@@ -27,35 +27,38 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// Both must outlive it.
+    /// Both arguments must outlive this object.
     ServerLoads(const PolicyConfig& config, ServerTable& servers) : config_(config), servers_(servers) {}
-    /// The configuration has changed.
+    /// Applies a changed configuration.
     void configure() { state_.class_loads.resize(config_.request_classes.size()); }
 
-    /// Takes over the load that a client hinted for its request, if it did.
+    /// Sets the request's load to the load that the client hinted, if any, and counts it as a report.
     void learn_hinted_load(RequestState&);
-    /// A connection's load was reported, in microseconds of work a second.
-    void record_load(RequestState&, double micros_a_second);
-    /// Counts the request, established or pending, as one of the server's connections.
+    /// Records the reported load of a connection, in microseconds of work per second.
+    void record_load(RequestState&, double micros_per_second);
+    /// Adds the request, established or pending, to the server's connections.
     void add_connection(ServerIndex, RequestState&);
-    /// The connection of the last attempt has ended. Returns the connection that has taken its place in the
-    /// server's list, if any has.
+    /// Removes the connection of the request's last attempt, which has ended. Returns the connection that was
+    /// moved to its position in the server's list, if any.
     std::optional<RequestId> remove_connection(RequestState&);
 
+    /// Returns the load of one request.
     double load_of(const RequestState& request) const {
         return request.load ? *request.load / state_.class_loads.mean_unit()
                             : state_.class_loads.relative_load(request.type);
     }
+    /// Returns this balancer's load on one server.
     double load_on(const ServerState& server) const { return server.load.in_units(state_.class_loads); }
+    /// Returns this balancer's load on all servers.
     double total() const { return state_.total.in_units(state_.class_loads); }
-    /// What the server's weight alone gives it of this balancer's load.
+    /// Returns the server's share of this balancer's load by its weight alone.
     double full_share(const ServerState&) const;
-    /// How many servers have any connection of this balancer.
+    /// Returns the number of servers with connections of this balancer.
     int servers_in_use() const { return state_.servers_in_use; }
 
-    /// The load above which the server is known to answer slowly, if there is one.
+    /// Returns the load above which the server answers slowly, if there is such a limit.
     std::optional<double> load_limit(TimePoint now, const ServerState&) const;
-    /// The same, rounded by chance for whole connections (LoadLimit::rounding).
+    /// Returns the load limit with its random rounding to whole connections (LoadLimit::rounding).
     std::optional<double> rounded_load_limit(TimePoint now, const ServerState&) const;
 
    private:
--- a/src/policy/server_state.h
+++ b/src/policy/server_state.h
@@ -1,4 +1,4 @@
-// Everything that the policy knows of one server.
+/// Holds the policy's state of one server.
 #pragma once
 #include <optional>
 #include <vector>
@@ -12,23 +12,24 @@
 
 namespace headrouter {
 
-/// One server, in the order in which endpoint lists first named it. Never removed, so that indexes hold.
+/// Holds the state of one server. The ServerTable keeps servers in the order in which endpoint lists first
+/// named them and never removes them, so that indexes stay valid.
 struct ServerState {
     Endpoint endpoint;
     uint64_t id_hash = 0;
-    double weight = 1;  ///< the endpoint's, less for other zones
+    double weight = 1;  ///< the endpoint's weight, reduced for servers of other zones
     std::vector<RequestId> connections;
     ConnectionLoad load;
-    std::optional<size_t> degraded_index;  ///< in the latest FleetView; none: needs no look of its own
-    std::optional<int> named_in_update;    ///< the latest endpoint update that named it
+    std::optional<size_t> degraded_index;  ///< in the latest FleetView; none if not degraded
+    std::optional<int> named_in_update;    ///< number of the latest endpoint update that named the server
     int pending_attempts = 0;
     int protected_connections = 0;
-    TimePoint established_at;  ///< the latest; read by no rule, kept for the form of version 1
-    /// What a connection counts before the own share takes it here: exponential with mean 1, by replica
-    /// index.
+    TimePoint established_at;  ///< latest established attempt; unused, kept for state version 1
+    /// Factor on a new connection's load in the check whether this balancer's share of the server has room
+    /// for the connection: exponentially distributed with mean 1, drawn by replica index.
     double subset_draw = 1;
-    double fleet_load = 0;              ///< over all balancers, as last published, in mean load units
-    double own_load_in_fleet_load = 0;  ///< this balancer's part of it
+    double fleet_load = 0;              ///< latest published load over all balancers, in mean load units
+    double own_load_in_fleet_load = 0;  ///< this balancer's part of `fleet_load`, in mean load units
 
     OutlierDetector outliers;
     LoadLimit load_limit;
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// What a server counts that is listed without weight, so that shares stay finite.
-constexpr double least_weight = 1e-3;
+/// Minimum weight of a server, so that shares stay finite for servers listed without weight.
+constexpr double min_weight = 1e-3;
 
-/// A server of another zone loses (`zone_loss` + `zone_loss_growth` * cost) * cost of its weight, where cost
-/// is that of a request that crosses zones.
+/// A server of another zone loses the fraction (`zone_loss` + `zone_loss_growth` * cost) * cost of its
+/// weight, where cost is the configured cost of a request that crosses zones.
 constexpr double zone_loss = 8;
 constexpr double zone_loss_growth = 15;
-/// The least part of its weight that it keeps.
-constexpr double least_zone_part = 0.02;
-/// A server that keeps more of its weight than this is in a near zone.
-constexpr double near_zone_part = 0.5;
+/// Minimum fraction of its weight that a server of another zone keeps.
+constexpr double min_zone_fraction = 0.02;
+/// A server that keeps more than this fraction of its weight is in a near zone.
+constexpr double near_zone_fraction = 0.5;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
     const bool is_later = endpoint.launched && (!known || *endpoint.launched > *known);
     server.endpoint = endpoint;
     server.named_in_update = state_.updates;
-    server.weight = weight_here(server);
+    server.weight = zone_adjusted_weight(server);
     return {it->second, is_new, !is_new && is_later};
 }
 
@@ -66,19 +66,19 @@
 
 bool ServerTable::is_in_near_zone(ServerIndex index) const {
     const ServerState& server = (*this)[index];
-    return server.weight > near_zone_part * listed_weight(server);
+    return server.weight > near_zone_fraction * listed_weight(server);
 }
 
 double ServerTable::listed_weight(const ServerState& server) {
-    return std::max(server.endpoint.weight, least_weight);
+    return std::max(server.endpoint.weight, min_weight);
 }
 
-double ServerTable::weight_here(const ServerState& server) const {
+double ServerTable::zone_adjusted_weight(const ServerState& server) const {
     const double weight = listed_weight(server);
     if (server.endpoint.zone == config_.zone) return weight;
     const double cost = config_.cross_zone_cost;
-    const double lost_part = (zone_loss + zone_loss_growth * cost) * cost;
-    return weight * std::max(least_zone_part, 1 - lost_part);
+    const double lost_fraction = (zone_loss + zone_loss_growth * cost) * cost;
+    return weight * std::max(min_zone_fraction, 1 - lost_fraction);
 }
 
 }  // namespace headrouter
--- a/src/policy/server_table.h
+++ b/src/policy/server_table.h
@@ -1,4 +1,4 @@
-/// The servers that endpoint lists have named, by index.
+/// Stores all servers that endpoint lists have named, by index.
 #pragma once
 #include <optional>
 #include <unordered_map>
@@ -12,17 +12,17 @@
 
 namespace headrouter {
 
-/// The servers with all that this balancer knows of each, kept in step with the endpoint list, and the sums
-/// over the active ones. Servers are added, never removed.
+/// Stores the state of each server, updated from the endpoint list, and the sums over the active servers.
+/// Servers are added, never removed.
 class ServerTable {
    public:
     struct State {
         std::vector<ServerState> servers;
-        std::unordered_map<ServerId, ServerIndex> index;  ///< looked up only: in no order
+        std::unordered_map<ServerId, ServerIndex> index;  ///< for lookup only; unordered
         double active_weight = 0;
         double active_listed_weight = 0;
         int active_count = 0;
-        int updates = 0;  ///< how many have begun
+        int updates = 0;  ///< number of endpoint updates that have begun
     };
 
     [[nodiscard]] const State& state() const { return state_; }
@@ -38,39 +38,41 @@
     const ServerState& operator[](ServerIndex server) const { return state_.servers[server.value()]; }
     std::vector<ServerState>& all() { return state_.servers; }
     const std::vector<ServerState>& all() const { return state_.servers; }
-    /// The server's index; nothing for an unknown id.
+    /// Returns the server's index; no value for an unknown id.
     std::optional<ServerIndex> find(const ServerId&) const;
 
-    /// What apply() found.
+    /// Result of apply().
     struct Applied {
         ServerIndex server;
         bool is_new = false;
-        bool is_restarted = false;  ///< another process under a known id, by its time of launch
+        bool is_restarted = false;  ///< a known id with a later launch time, so another process
     };
-    /// An endpoint update begins; its endpoints follow by apply(), then end_update().
+    /// Begins an endpoint update. The caller then calls apply() for each endpoint, and end_update().
     void begin_update() { ++state_.updates; }
-    /// Takes over what the list says of one server.
+    /// Adds or updates one server from its entry in the list.
     Applied apply(const Endpoint&);
-    /// After the last endpoint of an update: servers that a whole list does not name are removed.
+    /// Ends an endpoint update and computes the sums. If the update is a whole list, sets servers that it
+    /// does not name to the removed state.
     void end_update(bool is_whole_list);
-    /// Whether no more than one update has come so far.
+    /// Returns whether at most one update has begun so far.
     bool is_first_update() const { return state_.updates <= 1; }
 
-    /// The weight of all active servers for this balancer, which has less use for other zones'.
+    /// Returns the weight of all active servers for this balancer, with reduced weights for other zones.
     double active_weight() const { return state_.active_weight; }
-    /// The same with the weights as listed.
+    /// Returns the weight of all active servers as listed.
     double active_listed_weight() const { return state_.active_listed_weight; }
     int active_count() const { return state_.active_count; }
-    /// Each server as the deterministic orders need it.
+    /// Returns the hash, weight and activity of each server, as the deterministic subset order needs them.
     std::vector<fleet_load::WeightedServer> order_entries() const;
-    /// Whether the server keeps most of its weight, so that its zone is this balancer's or cheap to reach.
+    /// Returns whether the server keeps most of its weight, so that its zone is this balancer's own or cheap
+    /// to reach.
     bool is_in_near_zone(ServerIndex) const;
-    /// The endpoint's weight, of which even a server that is listed without any has a little.
+    /// Returns the endpoint's weight, raised to a small positive minimum.
     static double listed_weight(const ServerState&);
 
    private:
-    /// The server's weight for this balancer.
-    double weight_here(const ServerState&) const;
+    /// Returns the server's weight for this balancer, reduced if the server is in another zone.
+    double zone_adjusted_weight(const ServerState&) const;
 
     const PolicyConfig& config_;
     State state_;
--- a/src/policy/surplus_drain.h
+++ b/src/policy/surplus_drain.h
@@ -1,4 +1,4 @@
-/// Migrating a server's surplus off, one connection after the other.
+/// Schedules the migration of a server's surplus, one connection after the other.
 #pragma once
 #include <optional>
 
@@ -8,12 +8,13 @@
 
 namespace headrouter {
 
-/// How much of one server's load is still to be migrated off, and at what pace. Loads in mean load units.
+/// Tracks how much of one server's load is still to be migrated off, and the interval between migrations.
+/// Loads are in mean load units.
 class SurplusDrain {
    public:
     struct State {
         SlidingWindow<cycle_clock::cycles_remembered> excess{cycle_clock::cycle_time};
-        double remaining = 0;  ///< to be migrated off
+        double remaining = 0;  ///< load still to be migrated off
         Duration interval;     ///< between two steps
         bool is_active = false;
         bool protected_go_first = false;
@@ -22,20 +23,25 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(const State& state) { state_ = state; }
 
-    /// Migrates `load` off in about so many steps spread over `duration`. Returns when the first step is due,
-    /// by chance within one interval, so that balancers do not act together; nothing if a drain runs already.
+    /// Starts to migrate `load` off in about `steps` steps spread over `duration`. Returns the time of the
+    /// first step, random within one interval, so that balancers do not act simultaneously; no value if
+    /// `load` is not positive or a drain is active already, which then continues with the new load and
+    /// interval.
     std::optional<TimePoint> start(TimePoint now, double load, int steps, Duration duration, Pcg32& random);
-    /// A step is due. False where nothing is left to migrate; the drain has ended then.
+    /// Begins a step that is due. Returns false if no load is left to migrate, and the drain has ended.
     bool begin_step();
-    /// A connection of so much load was migrated. Returns when the next step is due, if there is one.
+    /// Ends a step in which a connection of load `migrated` was migrated. Returns the time of the next step,
+    /// if there is one.
     std::optional<TimePoint> end_step(TimePoint now, double migrated);
+    /// Returns the load still to be migrated off.
     double remaining() const { return state_.remaining; }
 
-    /// The server is over its share by `excess`; returns the largest excess of the last cycles.
+    /// Records by how much the server exceeds its share; returns the largest excess of the last cycles.
     double record_excess(TimePoint now, double excess);
     void forget_excess() { state_.excess.clear(); }
 
-    /// Protected connections stay until their server is balanced once, and go first after that.
+    /// Sets whether protected connections are migrated first. They stay until their server has been balanced
+    /// once, and are migrated first after that.
     void set_protected_first(bool first) { state_.protected_go_first = first; }
     bool protected_go_first() const { return state_.protected_go_first; }
 
--- a/src/policy/warmup_admission.cpp
+++ b/src/policy/warmup_admission.cpp
@@ -7,8 +7,8 @@
 namespace headrouter {
 
 namespace {
-/// The most that the warm weight falls to within a cycle, and the inverse of the most that it rises to.
-constexpr double weight_kept_per_cycle = 0.9;
+/// Minimum ratio of the warm weight after a cycle to that before; the inverse is the maximum ratio.
+constexpr double min_weight_ratio_per_cycle = 0.9;
 }  // namespace
 
 bool WarmupAdmission::is_cold(TimePoint now, const ServerState& server) const {
@@ -30,7 +30,7 @@
 }
 
 double WarmupAdmission::warm_capacity(const ServerState& server, double load) const {
-    // Without a quota, the others are taken to have as much as this balancer.
+    // Without a quota, the other balancers are assumed to have as much load as this one.
     const double fleet_load =
         config_.quota > 0 ? config_.quota : std::max(loads_.total(), load) * config_.replica_count;
     return fleet_load * ServerTable::listed_weight(server) / state_.warm_weight;
@@ -42,15 +42,16 @@
         if (!eligibility::takes_new_requests(server.endpoint.state)) continue;
         if (is_cold(now, server)) cold_weight += ServerTable::listed_weight(server);
     }
-    // Of a fleet that the cold servers replace nothing is known at the first update.
+    // The cold servers are assumed to replace others, except at the first update, when no earlier fleet is
+    // known.
     const double replaced_weight = servers_.is_first_update() ? 0 : cold_weight;
     state_.warm_weight = std::max(state_.warm_weight, servers_.active_listed_weight() - replaced_weight);
 }
 
 void WarmupAdmission::on_cycle() {
     state_.warm_weight =
-        std::clamp(servers_.active_listed_weight(), state_.warm_weight * weight_kept_per_cycle,
-                   state_.warm_weight / weight_kept_per_cycle);
+        std::clamp(servers_.active_listed_weight(), state_.warm_weight * min_weight_ratio_per_cycle,
+                   state_.warm_weight / min_weight_ratio_per_cycle);
 }
 
 }  // namespace headrouter
--- a/src/slow_start/warmup_permits.cpp
+++ b/src/slow_start/warmup_permits.cpp
@@ -8,34 +8,37 @@
 
 namespace {
 
-/// Neighbours by replica index are this part of a round apart, so that a tenth of the balancers that restarts
-/// together does not take all of a server's permits of one window with it.
+/// Balancers with neighbouring replica indexes are this fraction of a round apart, so that a tenth of the
+/// balancers restarting together does not lose all of a server's permits of one window.
 constexpr double stride_fraction = 0.618;
 
-/// Heavier requests are not told apart.
+/// Loads above this, in mean load units, are treated as equal.
 constexpr double max_request_load = 1e6;
 
-/// When in a round the permit of this balancer is issued, between 0 and 1. Each balancer has a place of its
-/// own, evenly spaced, so any stretch of a round holds as many permits as it is long, to within one.
-double place_in_round(const SlowStartConfig& config, uint64_t server_hash) {
+/// Returns the position in a round, between 0 and 1, at which the permit of this balancer is issued. The
+/// positions of all balancers are distinct and evenly spaced, so the number of permits in any interval of a
+/// round is proportional to the interval's length, to within one.
+double position_in_round(const SlowStartConfig& config, uint64_t server_hash) {
     const auto count = static_cast<uint64_t>(std::max(1, config.replica_count));
     auto stride = std::max<uint64_t>(1, static_cast<uint64_t>(stride_fraction * static_cast<double>(count)));
     while (std::gcd(stride, count) != 1) ++stride;
-    const uint64_t place = (server_hash % count + config.replica_index % count * stride) % count;
-    return (static_cast<double>(place) + 0.5) / static_cast<double>(count);
+    const uint64_t position = (server_hash % count + config.replica_index % count * stride) % count;
+    return (static_cast<double>(position) + 0.5) / static_cast<double>(count);
 }
 
 }  // namespace
 
-// A server takes new connections no faster than fills it over its warm-up.
+// The cold capacity is the rate of new connections that fills the server to its warm capacity over its
+// warm-up.
 double overload_allowance(const SlowStartConfig& config, double warm_capacity) {
     if (config.warmup_time.ns <= 0) return 0;
     return config.overload_multiple * warm_capacity * (config.overload_window / config.warmup_time);
 }
 
-// A permit is valid for one window, so what is sent within a window was issued within two: half of the
-// allowance is issued. The limit grants two roots of the allowance beyond it for chance; there is none here,
-// so they are issued as well, by the same halving.
+// A permit is valid for one window, so the requests sent within a window used permits issued within two
+// windows: half of the allowance is issued per window. The overload rule tolerates twice the square root of
+// the allowance in addition, for random variation. Permits are issued without random variation, so that
+// tolerance is issued as well, halved in the same way.
 double issued_allowance(double allowance) { return allowance / 2 + std::sqrt(allowance); }
 
 void WarmupPermits::reset(TimePoint discovered_at) {
@@ -51,7 +54,7 @@
         state_.issued_level = issued_per_second * std::max(0.0, to_seconds(now - server_started));
         state_.discovery_level =
             issued_per_second * std::max(0.0, to_seconds(state_.discovered_at - server_started));
-        state_.next_permit_level = place_in_round(config, server_hash);
+        state_.next_permit_level = position_in_round(config, server_hash);
     } else {
         state_.issued_level += issued_per_second * std::max(0.0, to_seconds(now - state_.updated_at));
     }
--- a/tests/load/test_request_class_loads.cpp
+++ b/tests/load/test_request_class_loads.cpp
@@ -1,11 +1,11 @@
-// What is learnt of request classes from load reports.
+// Tests the loads of request classes that are learnt from load reports.
 #include <gtest/gtest.h>
 
 #include "load/request_class_loads.h"
 
 using headrouter::RequestClassLoads;
 
-TEST(RequestClassLoads, LoadsAreInUnitsOfTheMeanConnection) {
+TEST(RequestClassLoads, ReturnsLoadsInUnitsOfTheMeanConnection) {
     RequestClassLoads loads;
     loads.resize(3);
     EXPECT_EQ(loads.mean_unit(), 1);
@@ -16,10 +16,10 @@
     EXPECT_EQ(loads.mean_unit(), 300);
     EXPECT_EQ(loads.relative_load(0), 0.5);
     EXPECT_EQ(loads.relative_load(1), 2);
-    EXPECT_EQ(loads.relative_load(2), 1);  // no report of it yet
+    EXPECT_EQ(loads.relative_load(2), 1);  // no report of this class yet
 }
 
-TEST(RequestClassLoads, OldReportsAreOutvoted) {
+TEST(RequestClassLoads, RecentReportsOutweighOldOnes) {
     RequestClassLoads loads;
     loads.resize(1);
     for (int k = 0; k < 10'000; ++k) loads.add_report(0, 100);
@@ -27,7 +27,7 @@
     EXPECT_GT(loads.mean_unit(), 490);
 }
 
-TEST(RequestClassLoads, ClassesThatJoinLeaveTheOthersAsTheyAre) {
+TEST(RequestClassLoads, AddingAClassLeavesOtherClassesUnchanged) {
     RequestClassLoads loads;
     loads.resize(1);
     loads.add_report(0, 50);
--- a/tests/policy/test_rules.cpp
+++ b/tests/policy/test_rules.cpp
@@ -1,9 +1,10 @@
-/// What may be retried and where, what servers that drain or warm up get, and queued requests.
+// Tests which requests are retried and where, what draining and warming servers are sent, and queued
+// requests.
 #include <cmath>
 
 #include "policy_helpers.h"
 
-/// Servers "a" to "d" in zones 0, 0, 1, 1 and cells 0, 1, 0, 2.
+/// Returns servers "a" to "d" in zones 0, 0, 1, 1 and cells 0, 1, 0, 2.
 static std::vector<Endpoint> make_four_endpoints() {
     return {make_endpoint("a", 1, 0, 0), make_endpoint("b", 1, 0, 1), make_endpoint("c", 1, 1, 0),
             make_endpoint("d", 1, 1, 2)};
@@ -16,7 +17,7 @@
     policy.on_attempt_ended(cycle_start + after, id, attempt, outcome, after, false, {});
 }
 
-TEST(Rules, AnIdempotentRequestIsRetriedWhateverTheOutcome) {
+TEST(Rules, RetriesIdempotentRequestWhateverTheOutcome) {
     auto&& [actions, policy, inspector] = PolicyFixture(make_four_endpoints(), make_config());
     policy.on_request(cycle_start, make_request(1, cycle_start));
     end_attempt(policy, 1, AttemptOutcome::timed_out);
@@ -31,7 +32,7 @@
     EXPECT_EQ(actions.rejected.size(), 1u);
 }
 
-TEST(Rules, ANonIdempotentRequestIsRetriedOnlyIfNoAttemptMayHaveRun) {
+TEST(Rules, RetriesNonIdempotentRequestOnlyIfNoAttemptMayHaveRun) {
     for (const AttemptOutcome outcome :
          {AttemptOutcome::at_capacity, AttemptOutcome::connect_failed, AttemptOutcome::not_sent,
           AttemptOutcome::error, AttemptOutcome::timed_out, AttemptOutcome::reset,
@@ -49,7 +50,7 @@
     }
 }
 
-TEST(Rules, AKeyedRequestIsRetriedWithinItsZoneOrCell) {
+TEST(Rules, RetriesKeyedRequestWithinItsZoneOrCell) {
     for (const DedupScope dedup_scope : {DedupScope::zone, DedupScope::cell}) {
         auto&& [actions, policy, inspector] =
             PolicyFixture(make_four_endpoints(), make_config(Idempotency::keyed, dedup_scope));
@@ -66,7 +67,7 @@
     }
 }
 
-TEST(Rules, AKeyedRequestEndsAfterItsWindowAndFailsUnlessItsScopeIsAll) {
+TEST(Rules, AfterDeduplicationWindowRejectsKeyedRequestIfScopeIsAllElseFailsIt) {
     PolicyConfig config = make_config(Idempotency::keyed, DedupScope::zone);
     config.request_classes[0].dedup_window = millis(500);
     auto&& [actions, policy, inspector] = PolicyFixture(make_four_endpoints(), config);
@@ -84,7 +85,7 @@
     EXPECT_EQ(other_actions.rejected.size(), 1u);
 }
 
-TEST(Rules, DrainingAndRemovedServersGetNothingNew) {
+TEST(Rules, SendsNoNewRequestsToDrainingOrRemovedServers) {
     auto&& [actions, policy, inspector] = PolicyFixture(make_four_endpoints(), make_config());
     std::vector<Endpoint> change = {make_endpoint("a"), make_endpoint("b"), make_endpoint("c")};
     change[0].state = EndpointState::draining;
@@ -96,11 +97,11 @@
     EXPECT_EQ(actions.attempts.size(), 20u);
 }
 
-// Guards against warm-up permits that are hardly used. 300 balancers of three connections each, forty
-// servers, five of them half warm. Each carries 22.5 of the 900 connections when warm, in ten seconds; three
-// times that rate is N = 6.75 in the second of the overload rule, of which N / 2 + sqrt(N) are given out: six
-// each, thirty in all, some two of them to the same balancer.
-TEST(Rules, AWarmingServerWithAPermitComesFirst) {
+// Guards against warm-up permits that are hardly used. 300 balancers have three connections each; of forty
+// servers, five are half warm. Each server carries 22.5 of the 900 connections when warm and takes ten
+// seconds to warm up. Three times that rate is N = 6.75 in the one-second overload window, of which N / 2 +
+// sqrt(N) permits are issued: six for each server, thirty in all, about two of them to the same balancer.
+TEST(Rules, PrefersWarmingServerWhenPermitIsAvailable) {
     for (const bool is_grouped : {false, true}) {
         int sent_to_warming = 0;
         for (uint64_t k = 0; k < 300; ++k) {
@@ -122,14 +123,15 @@
     }
 }
 
-// Guards against an overload of a server that warms up, also when the requests sent there have ended again.
-TEST(Rules, AWarmingServerGetsNoMoreThanItsPermits) {
+// Guards against the overload of a warming server, also when the requests sent there have already ended.
+TEST(Rules, SendsWarmingServerNoMoreThanItsPermits) {
     Endpoint cold = make_endpoint("cold");
     cold.launched = cycle_start;
     auto&& [actions, policy, inspector] = PolicyFixture({make_endpoint("a"), cold});
     adopt_connections(policy, cycle_start, "a", 1, 40);
-    // It carries 20 connections when warm, in ten seconds: three times that rate is 6 a second. Requests come
-    // all the time from the fourth second on, and a hundred at once at the fifth.
+    // The server carries 20 connections when warm and takes ten seconds to warm up: three times that rate is
+    // 6 per second. One request arrives every 50 ms from the fourth second on, and a hundred at the fifth
+    // second.
     std::vector<TimePoint> sent;
     RequestId id = 100;
     for (TimePoint now = cycle_start + seconds(4); now < cycle_start + seconds(9); now = now + millis(50))
@@ -149,9 +151,10 @@
     EXPECT_GE(sent.size(), 15u);  // limited, but not starved
 }
 
-// Guards against hundreds of balancers that overload a new server together, each within its own permits. All
-// learn of the server at once, everything else drains, and all reconnecting clients have only this server.
-TEST(Rules, HundredsOfBalancersKeepToAWarmingServersPermitsTogether) {
+// Guards against hundreds of balancers that together overload a new server, although each stays within its
+// own permits. All discover the server at once, all other servers drain, and all reconnecting clients can
+// only go to the new server.
+TEST(Rules, HundredsOfBalancersTogetherStayWithinPermitsOfWarmingServer) {
     std::vector<Endpoint> endpoints = make_endpoints(20);
     for (Endpoint& endpoint : endpoints) endpoint.weight = 1;
     endpoints[0].launched = cycle_start;
@@ -177,8 +180,9 @@
             actions.attempts.clear();
         }
     }
-    // 1,800 connections on twenty servers: it carries 90 when warm, in ten seconds; three times that is 27 in
-    // the second of the overload rule, and reconnecting clients may add one to each balancer's own count.
+    // 1,800 connections on twenty servers: the new server carries 90 when warm and takes ten seconds to warm
+    // up. Three times that rate is 27 in the one-second overload window. A reconnecting client may add one to
+    // the six connections that each balancer counts.
     const double max_in_second = 27 * 7.0 / 6;
     int all_attempts = 0;
     for (size_t step = 1; step < 100; ++step) {
@@ -202,7 +206,7 @@
     EXPECT_TRUE(inspector.request(5).queued);
 }
 
-TEST(Rules, AQueuedRequestIsAnsweredBeforeItsDeadline) {
+TEST(Rules, RejectsQueuedRequestBeforeItsDeadline) {
     RecordingActions actions;
     BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     policy.on_request(cycle_start, make_request(1, cycle_start));  // no server is known
@@ -220,7 +224,7 @@
     EXPECT_GT(now, cycle_start + seconds(1.8));
 }
 
-TEST(Rules, AResumedStreamGoesBackToItsServerEvenWhileItDrains) {
+TEST(Rules, SendsResumedStreamBackToItsServerEvenWhileItDrains) {
     PolicyConfig config = make_config();
     config.passthrough = true;
     config.park = seconds(5);
@@ -240,9 +244,9 @@
     EXPECT_NE(actions.attempts.at(1).server, "c");
 }
 
-// Nine of ten requests are reset right after they were established: most reconnecting clients are rejected.
-// New requests are not, and nobody is if the balancer has more connections than servers or the reset requests
-// were old.
+// If nine of ten requests are reset right after they were established, most reconnecting clients are
+// rejected. New requests are not rejected. No request is rejected if the balancer has more connections than
+// servers, or if the requests were old when they were reset.
 TEST(Rules, RejectsReconnectsWhereEstablishedRequestsAreResetEarly) {
     const auto count_rejected = [](bool is_reconnect, int connections, Duration age_at_reset) {
         auto&& [actions, policy, inspector] = PolicyFixture(make_endpoints(20));
--- a/tests/policy/test_warmup_admission.cpp
+++ b/tests/policy/test_warmup_admission.cpp
@@ -1,4 +1,4 @@
-// What a server that has just started may be sent.
+// Tests how much load a server that has just started may be sent.
 #include <gtest/gtest.h>
 
 #include "policy/warmup_admission.h"
@@ -26,7 +26,7 @@
     }
     ServerState& server(const ServerId& id) { return servers_[servers_.find(id).value()]; }
 
-    /// How many attempts the server is sent in ten seconds, tried every 10 ms.
+    /// Returns how many attempts the server is sent in ten seconds, with one request every 10 ms.
     int sent_in_slow_start(ServerState& server) {
         int sent = 0;
         for (TimePoint now = start; now < start + seconds(10); now = now + millis(10)) {
@@ -45,13 +45,13 @@
 
 }  // namespace
 
-TEST_F(WarmupAdmissionTest, AWarmServerNeedsNoPermit) {
+TEST_F(WarmupAdmissionTest, AdmitsWithoutPermitWhenServerIsWarm) {
     EXPECT_FALSE(warmup_.is_cold(start, server("warm")));
     EXPECT_EQ(warmup_.slow_start_factor(start, server("warm")), 1);
     for (int sent = 0; sent < 1000; ++sent) EXPECT_TRUE(warmup_.admits(start, server("warm"), 1));
 }
 
-TEST_F(WarmupAdmissionTest, AColdServersPartGrowsUntilItIsWarm) {
+TEST_F(WarmupAdmissionTest, SlowStartFactorGrowsUntilServerIsWarm) {
     server("warm").slow_start.begin(start, start);
     EXPECT_EQ(warmup_.slow_start_factor(start, server("warm")), 0);
     EXPECT_EQ(warmup_.slow_start_factor(start + seconds(5), server("warm")), 0.5);
@@ -59,11 +59,11 @@
     EXPECT_FALSE(warmup_.is_cold(start + seconds(10), server("warm")));
 }
 
-TEST_F(WarmupAdmissionTest, AColdServerIsSentNoMoreThanItsPartOfTheQuotaAllows) {
+TEST_F(WarmupAdmissionTest, LimitsColdServerByItsPartOfTheQuota) {
     config_.quota = 200;
     server("warm").slow_start.begin(start, start);
-    // Its warm capacity is half of the quota; three times a tenth of that is what overloads it within a
-    // second.
+    // The warm capacity is half of the quota, 100; the cold capacity is a tenth of that per second, and three
+    // times the cold capacity within one second overloads the server.
     const double allowance = slow_start::overload_allowance(config_.slow_start_config(), 100);
     EXPECT_DOUBLE_EQ(allowance, 30);
     const double issued = 10 * slow_start::issued_allowance(allowance);
@@ -72,11 +72,11 @@
     EXPECT_GE(sent, issued - 2);
 }
 
-TEST_F(WarmupAdmissionTest, AColdServersPartDoesNotGrowAtOnceAsOthersAreLost) {
+TEST_F(WarmupAdmissionTest, KeepsColdServersPartWhenAnotherServerIsLost) {
     config_.quota = 200;
     update({"warm"});
     server("warm").slow_start.begin(start, start);
     const double issued =
         10 * slow_start::issued_allowance(slow_start::overload_allowance(config_.slow_start_config(), 100));
-    EXPECT_LE(sent_in_slow_start(server("warm")), issued + 1);  // still half of the quota
+    EXPECT_LE(sent_in_slow_start(server("warm")), issued + 1);  // its part is still half of the quota
 }
--- a/tests/policy_helpers.h
+++ b/tests/policy_helpers.h
@@ -1,5 +1,5 @@
-/// What tests of the policy share: actions that are recorded, a look into a BalancingPolicy, and builders of
-/// configurations, endpoints and requests.
+/// Provides shared test helpers for the policy: recorded actions, access to the state of a BalancingPolicy,
+/// and builders of configurations, endpoints and requests.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 
 namespace headrouter {
 
-/// Records what a policy does, in the order in which it is done.
+/// Records the actions of a policy in the order of the calls.
 struct RecordingActions : PolicyActions {
     struct StartedAttempt {
         RequestId request;
@@ -25,7 +25,7 @@
         bool is(TimerKind kind) const { return kind_of_timer(token) == kind; }
     };
     struct PublishedGossip {
-        int replica;  ///< to whom: a replica index or `everyone_else`
+        int replica;  ///< receiver: a replica index or `everyone_else`
         std::string bytes;
     };
 
@@ -51,7 +51,7 @@
     void watch_endpoints() override { ++watch_requests; }
     void send_gossip(int replica, const std::string& bytes) override { gossip.push_back({replica, bytes}); }
 
-    /// The timers set since the last call.
+    /// Returns the timers set since the last call.
     std::vector<Timer> take_timers() { return std::exchange(timers, {}); }
 };
 
@@ -71,7 +71,7 @@
     RequestState& request(RequestId id) { return policy.parts().requests.at(id); }
     bool has_request(RequestId id) { return policy.parts().requests.contains(id); }
 
-    // A server's failures.
+    // Failures of a server.
     OutlierDetector::State outliers(const ServerId& id) { return server(id).outliers.state(); }
     void set_outliers(const ServerId& id, const OutlierDetector::State& state) {
         server(id).outliers.restore(state);
@@ -86,7 +86,7 @@
         return eligibility::is_selectable(now, server(id));
     }
 
-    // Its load, its limit and its slow start.
+    // Load, load limit and slow start of a server.
     double load(const ServerId& id) { return policy.parts().loads.load_on(server(id)); }
     double load_limit(TimePoint now, const ServerId& id) {
         return policy.parts().loads.rounded_load_limit(now, server(id)).value();
@@ -134,7 +134,7 @@
     }
     size_t recorded_failovers() { return policy.parts().failovers.state().entries.size(); }
 
-    /// The first `size` servers of this replica's deterministic subsetting order.
+    /// Returns the first `size` servers of this replica's deterministic subsetting order.
     std::vector<ServerId> subset(size_t size) {
         std::vector<ServerId> servers;
         for (const ServerState& server : policy.parts().servers.all())
@@ -147,7 +147,7 @@
         return servers;
     }
 
-    // What gossip brought.
+    // State received by gossip.
     double fleet_load(const ServerId& id) { return server(id).fleet_load; }
     double fleet_total() { return policy.parts().gossip.fleet_total(); }
     double fleet_trust(TimePoint now) { return policy.parts().gossip.trust(now); }
@@ -160,10 +160,10 @@
     }
 };
 
-/// The start of a rebalance cycle, so that its active phase and its pause are where a test expects them.
+/// Start of a rebalance cycle, so that its active phase and its pause are at known times in tests.
 constexpr TimePoint cycle_start{1'000'000'000'000};
 
-/// One request class and no gossip.
+/// Returns a configuration with one request class and without gossip.
 inline PolicyConfig make_config(Idempotency idempotency = Idempotency::idempotent,
                                 DedupScope dedup_scope = DedupScope::all) {
     PolicyConfig config;
@@ -176,7 +176,7 @@
     return config;
 }
 
-/// The configuration of one of many balancers. PolicyFixture draws its seed from the index.
+/// Returns the configuration of one of many balancers. PolicyFixture derives its random seed from the index.
 inline PolicyConfig make_replica_config(uint64_t replica_index) {
     PolicyConfig config = make_config();
     config.replica_index = replica_index;
@@ -187,7 +187,7 @@
     return Endpoint{id, weight, EndpointState::active, zone, cell, {}};
 }
 
-/// Servers "A", "B", ... of weights 1, 2, 1, 2, ...
+/// Returns servers "A", "B", ... with weights 1, 2, 1, 2, ...
 inline std::vector<Endpoint> make_endpoints(int count) {
     std::vector<Endpoint> endpoints;
     for (int k = 0; k < count; ++k)
@@ -205,7 +205,8 @@
     return request;
 }
 
-/// A policy that has had its endpoint list, with its recorded actions and a look into it.
+/// Holds a policy that has received its endpoint list, with its recorded actions and an inspector of its
+/// state.
 struct PolicyFixture {
     RecordingActions actions;
     BalancingPolicy policy;
@@ -216,7 +217,7 @@
     }
 };
 
-/// Lets `policy` adopt `count` established connections on `server`, with ids from `first` on.
+/// Makes `policy` adopt `count` established connections on `server`, with ids starting at `first`.
 inline void adopt_connections(BalancingPolicy& policy, TimePoint now, const ServerId& server, RequestId first,
                               int count) {
     for (int k = 0; k < count; ++k) policy.on_request_adopted(now, make_request(first + k, now), server);
--- a/tests/slow_start/test_warmup_permits.cpp
+++ b/tests/slow_start/test_warmup_permits.cpp
@@ -1,5 +1,5 @@
-// Warm-up permits of many balancers that exchange no message: what all of them send a cold server stays under
-// what overloads it, and enough is sent to warm it.
+// Tests the warm-up permits of many balancers that exchange no messages: the load that all of them send a
+// cold server stays below the overload bound, and is enough to warm the server.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,17 +21,17 @@
 
 struct Scenario {
     int configured_replicas = 300, real_replicas = 300;
-    double allowance = 4;              // what the limit allows within its window
-    double requests_per_second = 0.5;  // of one balancer, from `quiet_time` on
-    Duration quiet_time{};             // since the server's start
-    Duration max_discovery_delay{};    // each balancer discovers the server within that
-    double restarted_fraction = 0;     // of the balancers, once in the middle
+    double allowance = 4;              // load allowed within one overload window
+    double requests_per_second = 0.5;  // of one balancer, after `quiet_time`
+    Duration quiet_time{};             // without requests, from the server's start
+    Duration max_discovery_delay{};    // upper bound of each balancer's discovery delay
+    double restarted_fraction = 0;     // of the balancers, restarted at half of the warm-up time
     double request_load = 1;
 };
 
 struct Outcome {
-    int max_in_window = 0;  // load sent in any stretch as long as the overload window
-    int sent = 0;           // requests in all
+    int max_in_window = 0;  // largest load sent within any overload window
+    int sent = 0;           // total number of requests
 };
 
 int max_in_window(const std::vector<double>& sent_in_step) {
@@ -76,7 +76,8 @@
     return outcome;
 }
 
-// What the limit grants: the allowance and two of its roots for chance, and two whole requests.
+// Returns the overload bound: the allowance, twice its square root for random variation, and two whole
+// requests.
 double bound_of(const Scenario& scenario) {
     return scenario.allowance + 2 * std::sqrt(scenario.allowance) + 2;
 }
@@ -85,7 +86,7 @@
 
 }  // namespace
 
-TEST(WarmupPermits, NoFleetThatIsToldItsSizePassesTheBound) {
+TEST(WarmupPermits, StaysWithinBoundWhenConfiguredReplicaCountIsCorrect) {
     for (const int replicas : {1, 3, 20, 300, 350})
         for (const double allowance : allowances)
             for (const double rate : {0.1, 1.0, 20.0})
@@ -95,15 +96,16 @@
                     scenario.allowance = allowance;
                     scenario.requests_per_second = rate;
                     EXPECT_LE(simulate(scenario, seed).max_in_window, bound_of(scenario));
-                    scenario.requests_per_second = 20;  // a storm after a long calm
+                    scenario.requests_per_second = 20;  // a burst of requests after a long quiet time
                     scenario.quiet_time = seconds(9);
                     scenario.max_discovery_delay = seconds(2);
                     EXPECT_LE(simulate(scenario, seed).max_in_window, bound_of(scenario));
                 }
 }
 
-// A new process has none of the permits issued before it, so those that all restart add nothing.
-TEST(WarmupPermits, RestartsSpendNothingTwice) {
+// Guards against permits that are used twice: a new process has no permits that were issued before it
+// discovered the server, so restarting all balancers adds no load.
+TEST(WarmupPermits, StaysWithinBoundWhenAllBalancersRestart) {
     for (const double allowance : allowances)
         for (uint64_t seed = 1; seed <= 10; ++seed) {
             Scenario scenario;
@@ -114,21 +116,21 @@
         }
 }
 
-TEST(WarmupPermits, CallsOfTwiceTheMeanWorkCountTwice) {
+TEST(WarmupPermits, StaysWithinBoundWhenRequestsHaveTwiceTheMeanLoad) {
     for (const double allowance : allowances)
         for (uint64_t seed = 1; seed <= 10; ++seed) {
             Scenario scenario;
             scenario.allowance = allowance;
             scenario.request_load = 2;
             scenario.requests_per_second = seed > 5 ? 20 : 0.5;
-            // The last permit may be taken by a whole request.
+            // The last permit may admit a request of load 2, which is one more.
             EXPECT_LE(simulate(scenario, seed).max_in_window, bound_of(scenario) + 1);
         }
 }
 
-// A fifth more balancers than configured, with the requests of a storm: the design's limit is one server in a
-// thousand days of two hundred such servers; here not one of two thousand.
-TEST(WarmupPermits, AFleetAFifthLargerThanToldStaysUnderItToo) {
+// A fifth more balancers than configured, under a burst of requests. The design limit is one overloaded
+// server in a thousand days with two hundred such servers; here none of two thousand may be overloaded.
+TEST(WarmupPermits, StaysWithinBoundWhenFleetIsAFifthLargerThanConfigured) {
     for (const double allowance : allowances)
         for (uint64_t seed = 1; seed <= 333; ++seed) {
             Scenario scenario;
@@ -140,17 +142,17 @@
         }
 }
 
-TEST(WarmupPermits, AStormWarmsTheServer) {
+TEST(WarmupPermits, SendsEnoughToWarmTheServerUnderABurst) {
     for (const double allowance : {1.0, 4.0, 40.0}) {
         Scenario scenario;
         scenario.allowance = allowance;
         scenario.requests_per_second = 0.5;
-        // Ten windows, in each of which N / 2 + root of N is issued; half of it finds a request.
+        // N / 2 + sqrt(N) is issued in each of ten windows; a request is available for at least half of it.
         EXPECT_GE(simulate(scenario, 1).sent, 10 * (allowance / 2 + std::sqrt(allowance)) / 2);
     }
 }
 
-TEST(WarmupPermits, AServerWithoutAWarmUpOrCapacityGivesOutNothing) {
+TEST(WarmupPermits, IssuesNoPermitWithoutWarmUpTimeOrCapacity) {
     struct Case {
         Duration warmup_time{};
         double capacity = 0;
