--- a/tests/planted/herd.cmake
+++ b/tests/planted/herd.cmake
@@ -1,4 +1,4 @@
-# Places on the server with the least published load.
+# Fault: sends each request to the server with the lowest published load.
 set(PLANT_SOURCE src/policy/placement.cpp)
 set(PLANT_FROM [==[    for (int tries = 0; tries < random_tries; ++tries) {]==])
 set(PLANT_TO [==[    std::optional<ServerIndex> least_loaded;
--- a/tests/planted/left.cmake
+++ b/tests/planted/left.cmake
@@ -1,4 +1,4 @@
-# Does not look whether the client has gone before it sends on.
+# Fault: does not check whether the client has disconnected before the request is sent to a server.
 set(PLANT_SOURCE src/router/attempt_handler.cpp)
 set(PLANT_FROM [==[    parts_.downstream.poll_now(id);
     const ActiveRequest* request]==])
--- a/tests/planted/twice.cmake
+++ b/tests/planted/twice.cmake
@@ -1,4 +1,4 @@
-# Answers a request that came up twice.
+# Fault: forwards the line that answers an established request to the client twice.
 set(PLANT_SOURCE src/router/attempt_handler.cpp)
 set(PLANT_FROM [==[    parts_.downstream.forward(id, line);
     const TimePoint now]==])
