--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -168,7 +168,7 @@
     double least_utilization = 0;
     for (const ServerIndex index : servers_.indexes()) {
         const ServerState& server = servers_[index];
-        const bool is_allowed_slow = allows_mild && server.load_limit.is_mild();
+        const bool is_allowed_slow = allows_mild && server.load_limit.has_steady_low_latency();
         if (!is_open(context, index) || (is_slow(context, index) && !is_allowed_slow)) continue;
         // Scales the request's load: by the group's draw for the server or, without a ranking, by this
         // balancer's subset draw.
@@ -211,7 +211,8 @@
 double Placement::fleet_utilization(const PlacementContext& context, const ServerState& server,
                                     double share) const {
     // The published load, with this balancer's part updated to its current load.
-    const double load = server.fleet_load + loads_.load_on(server) - server.own_load_then + context.load;
+    const double load =
+        server.fleet_load + loads_.load_on(server) - server.own_load_in_fleet_load + context.load;
     const double load_above_extra = load - fleet_extra_connections * connection_load(context);
     const double share_of_fleet = share / std::max(context.fleet.total_load, epsilon) * gossip_.fleet_total();
     return load_above_extra / std::max(share_of_fleet * fleet_share_multiple, epsilon);
@@ -233,7 +234,8 @@
     const bool has_limit =
         server.degraded_index && context.fleet.degraded[*server.degraded_index].load_limit.has_value();
     const bool reports_latency = !server.connections.empty() || has_limit;
-    return !reports_latency && context.fleet.is_mostly_slow && random_.uniform() < context.fleet.slow_part;
+    return !reports_latency && context.fleet.is_mostly_slow &&
+           random_.uniform() < context.fleet.slow_fraction;
 }
 
 }  // namespace headrouter
