--- a/src/app/action_diff.cpp
+++ b/src/app/action_diff.cpp
@@ -16,13 +16,13 @@
 
 constexpr int64_t nanoseconds_per_second = 1'000'000'000;
 
-/// Actions on requests, in the order of their numbers in the file; any other number is passed over.
+/// Names of the actions on requests; the index is the action's number in the file. Other numbers are ignored.
 constexpr std::array<const char*, 4> action_names{"placed", "rejected", "failed", "migrated"};
 constexpr int placed = 0;
 
 using ActionCounts = std::array<int64_t, action_names.size()>;
 
-/// What one build did.
+/// Holds the actions of one build.
 struct ActionLog {
     std::map<int64_t, ActionCounts> by_second;
     std::map<std::string, int64_t> placements_by_server;
@@ -50,14 +50,14 @@
     return log;
 }
 
-/// The value at `key`, or a default one.
+/// Returns the value at `key`, or a default-constructed one if the key is absent.
 template <class Map>
 typename Map::mapped_type value_at(const Map& map, const typename Map::key_type& key) {
     const auto found = map.find(key);
     return found == map.end() ? typename Map::mapped_type{} : found->second;
 }
 
-/// The keys of both maps, in order.
+/// Returns the union of the keys of both maps, in order.
 template <class Map>
 std::set<typename Map::key_type> keys_of(const Map& first, const Map& second) {
     std::set<typename Map::key_type> keys;
@@ -67,20 +67,20 @@
 }
 
 bool print_placements(const ActionLog& first, const ActionLog& second) {
-    uint64_t elsewhere = 0;
+    uint64_t placed_differently = 0;
     uint64_t only_first = 0;
     for (const auto& [request, server] : first.first_server_by_request) {
         const auto found = second.first_server_by_request.find(request);
         if (found == second.first_server_by_request.end())
             ++only_first;
         else if (found->second != server)
-            ++elsewhere;
+            ++placed_differently;
     }
-    std::printf("%zu requests placed by the first, %zu by the second; %" PRIu64
-                " first placed elsewhere, %" PRIu64 " by the first only\n",
-                first.first_server_by_request.size(), second.first_server_by_request.size(), elsewhere,
-                only_first);
-    return elsewhere + only_first > 0;
+    std::printf("%zu requests placed by the first build, %zu by the second; %" PRIu64
+                " have another first server, %" PRIu64 " placed by the first build only\n",
+                first.first_server_by_request.size(), second.first_server_by_request.size(),
+                placed_differently, only_first);
+    return placed_differently + only_first > 0;
 }
 
 bool print_seconds(const ActionLog& first, const ActionLog& second) {
--- a/src/app/bootstrap.cpp
+++ b/src/app/bootstrap.cpp
@@ -42,7 +42,8 @@
     const char* const path = std::getenv("PROXY_CONFIG");
     const bool is_set = path != nullptr && *path != '\0';
     if (!is_set)
-        throw ConfigError("", ParseError("PROXY_CONFIG", "is not set: it names the configuration file"));
+        throw ConfigError("", ParseError("PROXY_CONFIG",
+                                         "is not set or empty; expected the path of the configuration file"));
     return path;
 }
 
--- a/src/app/bootstrap.h
+++ b/src/app/bootstrap.h
@@ -1,4 +1,4 @@
-/// Where the bootstrap configuration comes from: the file that the platform names, and the environment.
+/// Loads the bootstrap configuration from the platform's file and the environment.
 #pragma once
 #include <string>
 
@@ -7,15 +7,16 @@
 
 namespace headrouter {
 
-/// At a reload the address of discovery is the file's: the environment is as it was when the process started
-/// and cannot follow a move.
+/// Why the configuration is loaded. At a reload the discovery address is taken from the file, because the
+/// environment is fixed when the process starts and cannot reflect a changed address.
 enum class LoadReason { start, reload };
 
-/// Reads `path`; PROXY_NAME, PROXY_LISTEN, PROXY_OPS and PROXY_DISCOVERY, where set and not empty, replace
-/// what it says. TMPDIR becomes the runtime folder. Throws ConfigError with the path.
+/// Reads the file at `path`. PROXY_NAME, PROXY_LISTEN, PROXY_OPS and, at a start, PROXY_DISCOVERY replace the
+/// file's values if they are set and not empty. TMPDIR, if set, becomes the runtime folder. Throws
+/// ConfigError with the path.
 [[nodiscard]] BootstrapConfig load_bootstrap_config(const std::string& path, const Clock& clock, LoadReason);
 
-/// The path that PROXY_CONFIG names. Throws ConfigError where it is not set.
+/// Returns the value of PROXY_CONFIG. Throws ConfigError if it is not set or empty.
 [[nodiscard]] std::string bootstrap_path_from_environment();
 
 }  // namespace headrouter
--- a/src/app/capture_statistics.cpp
+++ b/src/app/capture_statistics.cpp
@@ -32,7 +32,7 @@
     void add_action(const RecordedAction&);
     uint64_t count_of(RecordedAction::Kind kind) const { return actions_[static_cast<size_t>(kind)]; }
 
-    std::string source_;  // name and build of the balancer that recorded
+    std::string source_;  // name and build of the balancer that made the recording
     std::set<uint64_t> recordings_;
     size_t segments_ = 0;
     uint64_t bytes_ = 0;
@@ -43,7 +43,7 @@
     std::map<std::string, uint64_t> events_by_kind_;
     std::array<uint64_t, static_cast<size_t>(RecordedAction::Kind::count)> actions_{};
     std::map<std::string, uint64_t> placements_by_server_;
-    std::string incomplete_segments_;  // a line each
+    std::string incomplete_segments_;  // one line for each
 };
 
 void CaptureStatistics::read_segment(const std::string& path) {
--- a/src/app/capture_statistics.h
+++ b/src/app/capture_statistics.h
@@ -1,12 +1,13 @@
-/// Counts what captures hold.
+/// Counts the events, actions and placements in captures.
 #pragma once
 #include <string>
 #include <vector>
 
 namespace headrouter {
 
-/// Prints events, actions and placements by server of all segments to standard output. Returns whether every
-/// segment could be read to its end; one that could not is named, with the place and the reason.
+/// Prints the counts of events, actions and placements by server over all segments to standard output.
+/// Returns whether every segment could be read to its end; any that could not is printed with the offset and
+/// the reason.
 [[nodiscard]] bool print_capture_statistics(const std::vector<std::string>& segment_paths);
 
 }  // namespace headrouter
--- a/src/app/check_command.h
+++ b/src/app/check_command.h
@@ -1,4 +1,4 @@
-/// The command `check`: tells what a configuration holds.
+/// The command `check`: prints a summary of a configuration.
 #pragma once
 #include <iosfwd>
 
@@ -6,6 +6,7 @@
 
 namespace headrouter {
 
+/// Prints a summary of the configuration to `out`.
 void print_configuration(std::ostream& out, const Configuration&);
 
 }  // namespace headrouter
--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -22,23 +22,23 @@
 constexpr const char* help =
     "usage: headrouter COMMAND [OPTIONS]\n"
     "\n"
-    "  serve      serve clients until told to leave\n"
-    "  check      read the configuration, say what it holds, and exit\n"
+    "  serve      serve clients until shut down by a signal\n"
+    "  check      read the configuration, print a summary, and exit\n"
     "  version    print the version\n"
-    "  help       print this\n"
+    "  help       print this help\n"
     "\n"
     "options of serve and check:\n"
-    "  -c, --config FILE   the configuration (default: what PROXY_CONFIG names)\n"
+    "  -c, --config FILE   the configuration file (default: the path in PROXY_CONFIG)\n"
     "  -l, --log LEVEL     error, warning, info or debug (default: info)\n"
-    "  -f, --log-format F  text or json, a record a line (default: text)\n"
-    "  -o, --operator FILE the operator's own file, in TOML (deploy/operator.example.toml)\n"
+    "  -f, --log-format F  text or json, one record per line (default: text)\n"
+    "  -o, --operator FILE the operator's settings, in TOML (deploy/operator.example.toml)\n"
     "\n"
-    "Balancers speak to one another where the configuration has \"peers\" and permits it "
+    "Balancers exchange gossip if the configuration lists \"peers\" and enables gossip "
     "(docs/migration.md).\n"
-    "PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_OPS, where set, win over the file.\n"
-    "Signals to serve: TERM and INT leave in an orderly way, USR1 prints the counters, USR2 turns\n"
-    "recording on and off (the operator's file says where to), HUP reads the\n"
-    "configuration and the operator's file again (its discovery then wins over PROXY_DISCOVERY).\n";
+    "PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_OPS, if set, override the file.\n"
+    "Signals to serve: TERM and INT shut down gracefully, USR1 logs the counters, USR2 turns\n"
+    "recording on and off (into the folder set in the operator's file), HUP reloads the\n"
+    "configuration and the operator's file (discovery in the file then overrides PROXY_DISCOVERY).\n";
 
 int print_help() {
     std::cout << help;
--- a/src/app/command_line_options.cpp
+++ b/src/app/command_line_options.cpp
@@ -20,25 +20,27 @@
 
 bool set_log_level(CommandLineOptions& options, const std::string& word) {
     options.log_level = log_level_from(word);
-    if (!options.log_level) std::cerr << "headrouter: '" << word << "' is no log level\n";
+    if (!options.log_level)
+        std::cerr << "headrouter: '" << word
+                  << "' is not a log level: expected error, warning, info or debug\n";
     return options.log_level.has_value();
 }
 
 bool set_log_format(CommandLineOptions& options, const std::string& word) {
     options.log_format = log_format_from(word);
     if (!options.log_format)
-        std::cerr << "headrouter: '" << word << "' is no log format: expected text or json\n";
+        std::cerr << "headrouter: '" << word << "' is not a log format: expected text or json\n";
     return options.log_format.has_value();
 }
 
-/// False where the option or its argument is wrong.
+/// Applies one option. Returns whether the option and its argument are valid.
 bool apply_option(CommandLineOptions& options, int option) {
     switch (option) {
         case 'c': options.config_path = optarg; return true;
         case 'o': options.operator_config_path = optarg; return true;
         case 'l': return set_log_level(options, optarg);
         case 'f': return set_log_format(options, optarg);
-        default: return false;  // getopt has written what is wrong
+        default: return false;  // getopt has already written the error
     }
 }
 
@@ -57,7 +59,7 @@
         if (!apply_option(options, option)) return std::nullopt;
     }
     if (optind < argc) {
-        std::cerr << "headrouter: '" << argv[optind] << "' is one word too many\n";
+        std::cerr << "headrouter: unexpected argument '" << argv[optind] << "'\n";
         return std::nullopt;
     }
     return options;
--- a/src/app/command_line_options.h
+++ b/src/app/command_line_options.h
@@ -1,4 +1,4 @@
-/// The arguments of the program.
+/// Parses the command-line options of `serve` and `check`.
 #pragma once
 #include <optional>
 #include <string>
@@ -7,20 +7,20 @@
 
 namespace headrouter {
 
-/// What `serve` and `check` are called with. Options of the command line win over the operator's file.
+/// Holds the options of `serve` and `check`. Command-line options override the operator's file.
 struct CommandLineOptions {
-    /// Of the bootstrap configuration; empty: the one that PROXY_CONFIG names.
+    /// Path of the bootstrap configuration; empty: the path in PROXY_CONFIG.
     std::string config_path;
-    /// Of the operator's file; empty: there is none.
+    /// Path of the operator's file; empty: there is none.
     std::string operator_config_path;
     std::optional<LogLevel> log_level;
     std::optional<LogFormat> log_format;
-    /// Only the help is asked for.
+    /// Whether only the help is requested.
     bool wants_help = false;
 };
 
-/// Reads the options that follow the name of the command. Returns nothing where they are wrong; the reason
-/// has then been written to standard error.
+/// Parses the options that follow the name of the command. Returns nothing if they are invalid, after writing
+/// the reason to standard error.
 [[nodiscard]] std::optional<CommandLineOptions> parse_options(int argc, char** argv);
 
 }  // namespace headrouter
--- a/src/app/configuration.cpp
+++ b/src/app/configuration.cpp
@@ -23,8 +23,8 @@
     configuration.bootstrap = load_bootstrap_config(bootstrap_path(options), clock, reason);
     configuration.operator_config = load_operator_config(options);
     PolicyConfig& policy = configuration.bootstrap.cluster.policy;
-    policy.subset_order = configuration.operator_config.own_order;
-    policy.aggregates_fleet_load = configuration.operator_config.pools;
+    policy.subset_order = configuration.operator_config.uses_subset_order;
+    policy.aggregates_fleet_load = configuration.operator_config.aggregates_fleet_load;
     return configuration;
 }
 
--- a/src/app/configuration.h
+++ b/src/app/configuration.h
@@ -1,4 +1,5 @@
-/// The whole configuration of the program: the platform's file and environment, and the operator's file.
+/// Loads the whole configuration of the program: the platform's file, the environment, the operator's file
+/// and the command-line options.
 #pragma once
 #include "app/bootstrap.h"
 #include "app/command_line_options.h"
@@ -8,17 +9,17 @@
 
 namespace headrouter {
 
-/// Both parts as they are used: what the operator's file says of the policy is in `bootstrap`, options of the
-/// command line are in `operator_config`.
+/// Holds both parts of the configuration after merging: policy settings of the operator's file are applied to
+/// `bootstrap`, command-line options to `operator_config`.
 struct Configuration {
     BootstrapConfig bootstrap;
     OperatorConfig operator_config;
 };
 
-/// Reads both files. Throws ConfigError.
+/// Reads both files and merges in the environment and the options. Throws ConfigError.
 [[nodiscard]] Configuration load_configuration(const CommandLineOptions&, const Clock&, LoadReason);
 
-/// Sets level and format as configured.
+/// Sets level and format of the log as configured; the defaults are info and text.
 void configure_log(Log&, const OperatorConfig&);
 
 }  // namespace headrouter
--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -27,12 +27,12 @@
 }
 
 void read_spread(Fields fields, OperatorConfig& config) {
-    fields.flag("by_number", config.own_order);
-    fields.flag("pooled", config.pools);
+    fields.flag("by_number", config.uses_subset_order);
+    fields.flag("pooled", config.aggregates_fleet_load);
     fields.finish();
 }
 
-/// A size that the file gives in megabytes; `bytes` holds the default and takes the result.
+/// Reads a size given in megabytes; `bytes` holds the default and receives the result.
 void read_megabytes(Fields& fields, const char* key, int max, size_t& bytes) {
     int megabytes = static_cast<int>(bytes >> megabyte_shift);
     fields.whole(key, megabytes, 1, max);
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-OperatorConfig read_operator(const std::string& text, const std::string& file) {
+OperatorConfig parse_operator_config(const std::string& text, const std::string& file) {
     const toml::table root = parse_toml(text, file);
     Fields fields(root, file, "");
     OperatorConfig config;
@@ -67,6 +67,8 @@
     return config;
 }
 
-OperatorConfig read_operator_file(const std::string& path) { return read_operator(file_text(path), path); }
+OperatorConfig read_operator_file(const std::string& path) {
+    return parse_operator_config(file_text(path), path);
+}
 
 }  // namespace headrouter
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -1,5 +1,5 @@
-/// The operator's own file: what the platform's JSON does not hold. TOML, all of it optional;
-/// deploy/operator.example.toml shows it whole.
+/// Reads the operator's file, a TOML file for settings that the platform's JSON does not contain. Every
+/// setting is optional; deploy/operator.example.toml lists all of them.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace headrouter {
 
-/// Read at the start and again at SIGHUP. Everything is off by default.
+/// Holds the operator's settings, which are read at the start and again at SIGHUP. Every feature is off by
+/// default.
 struct OperatorConfig {
     struct Capture {
         /// Whether recording is on from the start; SIGUSR2 turns it on and off.
@@ -19,17 +20,19 @@
 
     std::optional<LogLevel> log_level;
     std::optional<LogFormat> log_format;
-    /// How load is spread over many balancers (docs/fleet-load.md): servers in an order of this balancer's
-    /// own.
-    bool own_order = false;
-    /// And servers' headroom as all balancers together report it.
-    bool pools = false;
-    /// Empty: there is no folder for recordings.
+    /// Whether this balancer uses its own order of servers, to spread the load of many balancers
+    /// (docs/fleet-load.md).
+    bool uses_subset_order = false;
+    /// Whether this balancer uses servers' headroom as aggregated over the reports of all balancers.
+    bool aggregates_fleet_load = false;
+    /// Settings of recordings; empty: no folder for recordings is configured.
     std::optional<Capture> capture;
 };
 
-/// `file` is the name for messages. Throws ConfigError: file and line, key, what was expected.
-[[nodiscard]] OperatorConfig read_operator(const std::string& text, const std::string& file);
+/// Parses `text`; `file` is the file name for error messages. Throws ConfigError with the file and line, the
+/// key and the expected value.
+[[nodiscard]] OperatorConfig parse_operator_config(const std::string& text, const std::string& file);
+/// Reads and parses the file at `path`. Throws ConfigError.
 [[nodiscard]] OperatorConfig read_operator_file(const std::string& path);
 
 }  // namespace headrouter
--- a/src/app/replay_main.cpp
+++ b/src/app/replay_main.cpp
@@ -1,4 +1,5 @@
-/// headrouter_replay: replays captures of the policy's events, explains, cuts and compares them.
+/// headrouter_replay: replays captures of the policy's events, and explains, cuts, anonymizes and compares
+/// them.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <cinttypes>
@@ -52,7 +53,7 @@
 }
 
 void print(const ReplayResult& result) {
-    constexpr std::array words{"the same decisions", "DIFFERS", "as far as it goes, the same decisions"};
+    constexpr std::array words{"the same decisions", "DIFFERS", "incomplete, the same decisions up to there"};
     const double length = result.events > 0 ? to_seconds(result.last - result.first) : 0.0;
     std::printf("%s: %" PRIu64 " events, %" PRIu64 " actions, %" PRIu64 " segments, %.1f s\n",
                 words[static_cast<size_t>(result.outcome)], result.events, result.actions, result.segments,
@@ -72,7 +73,7 @@
     return segments;
 }
 
-/// A line for each action on a request: time in ns, action, request, server or "-".
+/// Writes one line for each action on a request: time in ns, number of the action, request, server or "-".
 void write_actions(std::ostream& out, TimePoint at, const std::vector<RecordedAction>& actions) {
     for (const RecordedAction& action : actions) {
         if (action.request_id == 0) continue;
@@ -120,7 +121,7 @@
 
 using Command = int (*)(const Options&);
 
-/// Adds a command that is kept in `chosen` where the command line names it.
+/// Adds a command; `chosen` is set to it if the command line names it.
 CLI::App* add_command(CLI::App& app, const char* name, const char* description, Command command,
                       Command& chosen) {
     CLI::App* const added = app.add_subcommand(name, description);
@@ -135,44 +136,46 @@
 void add_commands(CLI::App& app, Options& options, Command& chosen) {
     auto* const runs = add_command(app, "run", "replays and compares every action", run, chosen);
     add_captures(runs, options);
-    runs->add_option("--actions", options.actions_path, "write what this build does, for diff");
+    runs->add_option("--actions", options.actions_path,
+                     "write the actions of this build to this file, for diff");
 
-    auto* const whys = add_command(app, "why", "tells all about one request: what was known and decided",
+    auto* const whys = add_command(app, "why", "explains one request: the policy's input and decisions",
                                    print_explanation, chosen);
-    whys->add_option("call", options.request, "its number, as in the log at debug")->required();
+    whys->add_option("call", options.request, "number of the request, as logged at level debug")->required();
     add_captures(whys, options);
 
-    add_captures(add_command(app, "stat", "counts what is in it", print_statistics, chosen), options);
+    add_captures(add_command(app, "stat", "counts events, actions and placements", print_statistics, chosen),
+                 options);
 
-    auto* const cuts = add_command(app, "cut", "makes a capture of a part", cut_part, chosen);
+    auto* const cuts = add_command(app, "cut", "copies a time range into a new capture", cut_part, chosen);
     add_captures(cuts, options);
-    cuts->add_option("--from", options.from_s, "seconds from its beginning");
-    cuts->add_option("--to", options.to_s, "seconds from its beginning");
+    cuts->add_option("--from", options.from_s, "seconds from the start of the capture");
+    cuts->add_option("--to", options.to_s, "seconds from the start of the capture");
     cuts->add_option("-o,--output", options.output_path, "the new segment")->required();
 
     auto* const anonymous =
         add_command(app, "anonymise",
-                    "hashes keys and groups with a salt that is thrown away, and records anew what "
-                    "this build does with them",
+                    "hashes keys and groups with a salt that is not kept, and records the actions of "
+                    "this build on them",
                     anonymise_all, chosen);
     add_captures(anonymous, options);
     anonymous->add_option("-o,--output", options.output_path, "the new segment")->required();
 
     auto* const diffs = add_command(
-        app, "diff", "compares what two builds did on one capture, from run --actions", diff, chosen);
+        app, "diff", "compares the actions of two builds on one capture, written by run --actions", diff,
+        chosen);
     diffs->add_option("first", options.first_actions_path)->required();
     diffs->add_option("second", options.second_actions_path)->required();
 }
 
 }  // namespace
 
-/// The chosen command's exit code.
+/// Runs the chosen command. Returns its exit code.
 static int run(int argc, char** argv) {
     CLI::App app{
         "Replays captures of the decision policy's events. Exit code: 0 the same decisions, 1 they "
-        "differ, 2 wrong "
-        "input, 3 cut off, damaged, too new or with a gap: replayed as far as it goes. docs/capture.md tells "
-        "more."};
+        "differ, 2 wrong input, 3 the capture is truncated, damaged, too new or has a gap, and was replayed "
+        "up to that point. See docs/capture.md."};
     app.require_subcommand(1);
     Options options;
     Command command = nullptr;
--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -22,7 +22,8 @@
 
 int ServeCommand::run() {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN);  // until the loop runs: it must not end a balancer that is still starting
+    std::signal(SIGHUP,
+                SIG_IGN);  // until the loop runs: SIGHUP must not end a balancer that is still starting
     make_balancer(configuration_.bootstrap);
     const auto shut_down = [this] { balancer_->begin_leaving(); };
     const SignalWatcher on_terminate(loop_, SIGTERM, shut_down);
@@ -39,7 +40,7 @@
 }
 
 void ServeCommand::make_balancer(const BootstrapConfig& config) {
-    balancer_.reset();  // before the next one: it holds the addresses
+    balancer_.reset();  // before the new one is created, because the old one occupies the listening addresses
     balancer_ = std::make_unique<Balancer>(loop_, config, clock_, log_);
     apply_capture_settings();
 }
@@ -53,7 +54,7 @@
     }
 }
 
-// Both processes listen then, until the previous one is told to shut down.
+// Both processes then listen until the previous one is shut down.
 void ServeCommand::start_without_hot_restart() {
     BootstrapConfig alone = configuration_.bootstrap;
     alone.runtime_folder.clear();
@@ -61,7 +62,7 @@
     balancer_->start();
 }
 
-// A process that is killed leaves the counts of its last interval behind.
+// Logs at each interval, so that the log of a killed process lacks at most the counts of its last interval.
 void ServeCommand::log_changed_counters() {
     if (log_.writes(LogLevel::info) && printed_counters() != logged_counters_) log_counters();
 }
@@ -77,7 +78,8 @@
     return counters.str();
 }
 
-// Both files are read before anything of them is used.
+// Reads both files before applying either, so that an invalid file leaves the running configuration
+// unchanged.
 void ServeCommand::reload() {
     try {
         Configuration next = load_configuration(options_, clock_, LoadReason::reload);
@@ -95,14 +97,14 @@
     const auto& capture = configuration_.operator_config.capture;
     if (!capture)
         log_.warning("recording_unavailable",
-                     {{"reason", "the operator's file has no [capture] with a folder"}});
+                     {{"reason", "the operator's file has no [capture] table with a folder"}});
     else if (balancer_->records())
         balancer_->stop_recording();
     else
         balancer_->record(capture->recorder);
 }
 
-// A recording that goes on begins anew, so that new bounds apply to it.
+// A running recording is restarted, so that changed limits apply to it.
 void ServeCommand::apply_capture_settings() {
     const auto& capture = configuration_.operator_config.capture;
     if (capture && (capture->on || balancer_->records()))
--- a/src/app/serve_command.h
+++ b/src/app/serve_command.h
@@ -13,14 +13,14 @@
 namespace headrouter {
 
 /// Runs the balancer until it has shut down. TERM and INT shut it down, USR1 logs the counters, USR2 turns
-/// recording on and off, HUP reads the configuration again. One at a time in a process, as it uses the
-/// default loop.
+/// recording on and off, HUP reloads the configuration. A process must have only one at a time, because it
+/// uses the default event loop.
 class ServeCommand {
    public:
-    /// `options` are read again at a reload.
+    /// `options` must outlive this object: a reload uses them again.
     ServeCommand(Configuration, const CommandLineOptions& options, const Clock&, Log&);
 
-    /// Throws ConfigError where the balancer cannot start. Returns the exit code.
+    /// Runs the event loop and returns the exit code. Throws ConfigError if the balancer cannot start.
     int run();
 
    private:
--- a/src/config/cluster_config.cpp
+++ b/src/config/cluster_config.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr double max_tenant_quota = 1e9;        // connections
-constexpr double max_overload_multiple = 1000;  // times what a server in slow start can do
+constexpr double max_overload_multiple = 1000;  // multiple of the capacity of a server in slow start
 constexpr int max_replicas = 4095;  // balancers; a replica index is sent in three hexadecimal digits
 
-/// Settings of the slow start invariant that are stated together or not at all.
+/// Fields of the slow start invariant, which must be either all present or all absent.
 constexpr std::array slow_start_rule_fields{"fallMultiple", "fallNs", "coldShare"};
 
 RequestClass parse_request_class(const Json& entry) {
@@ -36,7 +36,8 @@
     return request_class;
 }
 
-/// Latency objectives of messages, one for each request class in order; the list may be shorter.
+/// Sets the message latency objective of each request class, in order. The list may be shorter than
+/// `classes`; the remaining classes keep theirs.
 void apply_message_objectives(const Json& domain, std::vector<RequestClass>& classes) {
     if (!json::find(domain, "messageAimNs")) return;
     const Json& objectives = json::array(domain, "messageAimNs");
@@ -59,7 +60,7 @@
     return classes;
 }
 
-/// The quota of all tenants together, in connections; zero (none) where one of them has no quota.
+/// Returns the sum of all tenants' quotas, in connections; zero, meaning no quota, if any tenant has none.
 double parse_total_quota(const Json& quotas) {
     double total = 0;
     bool is_complete = true;
@@ -106,7 +107,7 @@
     if (policy.replica_count < 1 || policy.replica_count > max_replicas)
         json::wrong("groupSize", "a number of balancers from 1 to 4095");
     if (policy.gossip_enabled && policy.replica_index >= static_cast<uint64_t>(policy.replica_count))
-        json::wrong("slotNo", "a number below groupSize where peers may be told");
+        json::wrong("slotNo", "a number below groupSize where ceilings.peers enables gossip");
     const bool is_alone = policy.replica_count == 1;
     if (is_alone) policy.gossip_enabled = false;
 }
@@ -139,12 +140,12 @@
 }
 
 void check_slow_start_rule(const Json& invariants) {
-    const auto is_stated = [&](const char* field) { return json::find(invariants, field) != nullptr; };
-    if (std::none_of(slow_start_rule_fields.begin(), slow_start_rule_fields.end(), is_stated)) return;
+    const auto is_set = [&](const char* field) { return json::find(invariants, field) != nullptr; };
+    if (std::none_of(slow_start_rule_fields.begin(), slow_start_rule_fields.end(), is_set)) return;
     for (const char* field : slow_start_rule_fields)
-        if (!is_stated(field))
+        if (!is_set(field))
             throw ParseError(std::string("field '") + field +
-                             "' is missing, though others of the cold rule are stated");
+                             "' is missing, although other fields of the slow start rule are set");
     const double share = json::real(invariants, "coldShare");
     if (!(share > 0 && share <= 1)) json::wrong("coldShare", "a number above 0 and up to 1");
     if (json::integer(invariants, "fallNs") <= 0) json::wrong("fallNs", "a time above 0");
@@ -213,7 +214,7 @@
     merged.tenant_names = with_stable_indices(running.tenant_names, reloaded.tenant_names);
     merged.zone_names = with_stable_indices(running.zone_names, reloaded.zone_names);
 
-    // A request class that is gone keeps the row it had.
+    // A request class that was removed keeps its entry, because open requests still refer to it by index.
     merged.policy.request_classes = running.policy.request_classes;
     merged.policy.request_classes.resize(merged.request_class_names.size());
     for (size_t k = 0; k < merged.request_class_names.size(); ++k)
--- a/src/config/cluster_config.h
+++ b/src/config/cluster_config.h
@@ -1,5 +1,5 @@
-/// The platform's settings as typed configuration: what the balancing policy is configured with, and the
-/// names and times that the proxy needs beside it.
+/// Parses the platform's settings into typed configuration: the configuration of the balancing policy, and
+/// the names and times that only the proxy needs.
 #pragma once
 #include <rapidjson/fwd.h>
 
@@ -11,31 +11,33 @@
 
 namespace headrouter {
 
-/// The settings of one balancer. The policy knows request classes, tenants and zones by number only; a number
-/// is an index into the list of names here. An empty name is a row that the settings no longer name.
+/// Holds the settings of one balancer. The policy identifies request classes, tenants and zones only by
+/// number, which is an index into the list of names here. An empty name marks an entry that the settings no
+/// longer contain.
 struct ClusterConfig {
     PolicyConfig policy;
     std::vector<std::string> request_class_names;
     std::vector<std::string> tenant_names;
     std::vector<std::string> zone_names;
-    /// Servers report the latency of messages beside their load.
+    /// Whether servers report the latency of messages in addition to their load.
     bool reports_latency = false;
-    /// An attempt whose connection is not up after this time has failed; zero: no limit of its own.
+    /// Time after which an attempt without an established connection fails; zero: no separate limit.
     Duration connect_timeout;
-    /// A balancer that has not polled discovery for this long is assumed to know the list; zero: not stated.
+    /// Longest time between two polls of discovery: a balancer that has not polled for this long is assumed
+    /// to know the endpoint list. Zero: not set.
     Duration max_poll_interval;
 };
 
-/// Reads the JSON object of settings that the platform hands to a balancer at its start.
-/// Throws ParseError with the name of the field that is missing or wrong.
+/// Parses the JSON object of settings that the platform passes to a balancer at its start.
+/// Throws ParseError with the name of the missing or invalid field.
 [[nodiscard]] ClusterConfig parse_cluster_config(const std::string& settings);
 
-/// Reads only what the policy is configured with, from the same object of settings. Throws ParseError.
+/// Parses only the configuration of the policy from the same JSON object. Throws ParseError.
 [[nodiscard]] PolicyConfig parse_policy_config(const rapidjson::Value& settings);
 
-/// The configuration to use after a reload. Open requests and listed servers hold indices into the running
-/// configuration, so each name keeps its index: a name that is gone leaves an empty name in its place, a new
-/// one is appended.
+/// Returns the configuration to use after a reload. Open requests and listed servers hold indices into the
+/// running configuration, so each name keeps its index: a removed name is replaced by an empty one, and a new
+/// name is appended.
 [[nodiscard]] ClusterConfig with_stable_indices(const ClusterConfig& running, const ClusterConfig& reloaded);
 
 }  // namespace headrouter
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-/// The error for settings that cannot be used.
+/// The error for a configuration that cannot be read or used.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,10 +7,10 @@
 
 namespace headrouter {
 
-/// A configuration that cannot be read or used: the file, the field and what was expected there.
+/// Reports a configuration that cannot be read or used, with the file, the field and the expected value.
 class ConfigError : public ParseError {
    public:
-    /// "FILE: FIELD: expected EXPECTED". `file` may end in the line, as in "operator.toml:3".
+    /// "FILE: FIELD: expected EXPECTED". `file` may end in a line number, as in "operator.toml:3".
     ConfigError(std::string file, const std::string& field, const std::string& expected)
         : ParseError(file + ": " + field + ": expected " + expected, field, "has a wrong value", expected),
           file_(std::move(file)) {}
@@ -22,14 +22,14 @@
                      expected),
           file_(std::move(file)) {}
 
-    /// The same fault with the file that it was found in; `file` is empty where the text came from elsewhere.
+    /// Adds the file to `cause`; `file` is empty if the text did not come from a file.
     ConfigError(std::string file, const ParseError& cause)
         : ParseError(file.empty() ? cause.what() : file + ": " + cause.what(), cause.where(), cause.problem(),
                      cause.expected()),
           file_(std::move(file)) {}
 
     const std::string& file() const { return file_; }
-    /// The setting by its path in the file; empty where the file as a whole is at fault.
+    /// The path of the setting within the file; empty if the error concerns the whole file.
     const std::string& field() const { return where(); }
 
    private:
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,5 +1,5 @@
-/// Reading fields out of JSON. Every function throws ParseError with the field's name where the field is
-/// missing or of the wrong kind; a field that is null counts as missing.
+/// Reads fields of JSON objects. Every function throws ParseError with the field's name if the field is
+/// missing or has the wrong type; a field that is null counts as missing.
 #pragma once
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -16,13 +16,13 @@
 
 using Json = rapidjson::Value;
 
-/// The field's value; nullptr where it is missing or null.
+/// Returns the field's value; nullptr if the field is missing or null.
 inline const Json* find(const Json& o, const char* name) {
     const auto it = o.FindMember(name);
     return it == o.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-/// How messages name a field.
+/// Returns the name of a field as error messages show it.
 inline std::string field_name(const std::string& name) { return "field '" + name + "'"; }
 
 inline const Json& need(const Json& o, const char* name) {
@@ -31,32 +31,32 @@
     return *v;
 }
 
-/// Throws for a field that is there but cannot be used.
+/// Throws ParseError for a field that is present but has an invalid value.
 [[noreturn]] inline void wrong(const char* name, const char* expected) {
     throw ParseError(field_name(name), "has a wrong value", expected);
 }
 
-/// A whole number of 64 bits.
+/// Returns a whole number that fits into 64 bits.
 inline int64_t integer(const Json& o, const char* name) {
     const Json& v = need(o, name);
     if (!v.IsInt64()) wrong(name, "a whole number");
     return v.GetInt64();
 }
 
-/// A whole number from 0 on.
+/// Returns a whole number of at least 0.
 inline int64_t natural(const Json& o, const char* name) {
     const int64_t n = integer(o, name);
-    if (n < 0) wrong(name, "a whole number from 0 on");
+    if (n < 0) wrong(name, "a whole number of at least 0");
     return n;
 }
 
-/// The largest number that small() takes; it leaves room for arithmetic on int.
+/// The largest number that small() accepts; sums of two such numbers do not overflow an int.
 constexpr int64_t max_small = 1'000'000'000;
 
-/// A whole number from 0 to max_small.
+/// Returns a whole number from 0 to max_small.
 inline int small(const Json& o, const char* name) {
     const int64_t n = integer(o, name);
-    if (n < 0 || n > max_small) wrong(name, "a small number from 0 on");
+    if (n < 0 || n > max_small) wrong(name, "a whole number from 0 to 1000000000");
     return static_cast<int>(n);
 }
 
@@ -70,25 +70,25 @@
 
 inline bool flag(const Json& o, const char* name) {
     const Json& v = need(o, name);
-    if (!v.IsBool()) wrong(name, "a bool");
+    if (!v.IsBool()) wrong(name, "true or false");
     return v.GetBool();
 }
 
-inline bool flag_or(const Json& o, const char* name, bool otherwise) {
-    return find(o, name) ? flag(o, name) : otherwise;
+inline bool flag_or(const Json& o, const char* name, bool default_value) {
+    return find(o, name) ? flag(o, name) : default_value;
 }
 
 inline std::string text(const Json& o, const char* name) {
     const Json& v = need(o, name);
-    if (!v.IsString()) wrong(name, "a text");
+    if (!v.IsString()) wrong(name, "a string");
     return {v.GetString(), v.GetStringLength()};
 }
 
-inline std::string text_or(const Json& o, const char* name, const char* otherwise) {
-    return find(o, name) ? text(o, name) : otherwise;
+inline std::string text_or(const Json& o, const char* name, const char* default_value) {
+    return find(o, name) ? text(o, name) : default_value;
 }
 
-/// A time in nanoseconds.
+/// Returns a duration that the field gives in nanoseconds.
 inline Duration span(const Json& o, const char* name) { return {integer(o, name)}; }
 inline Duration span_or_zero(const Json& o, const char* name) {
     return find(o, name) ? span(o, name) : Duration{};
@@ -106,7 +106,7 @@
     return v;
 }
 
-/// The value of the word that the field holds.
+/// Returns the value that `words` assigns to the field's string.
 template <class Value>
 Value one_of(const Json& o, const char* name,
              std::initializer_list<NamedValue<Value, std::string_view>> words) {
@@ -120,7 +120,8 @@
     throw ParseError(field_name(name), "has the unknown value '" + word + "'", expected);
 }
 
-/// Parses one JSON text, UTF-8 checked, without recursion: its depth may be any.
+/// Parses one JSON text and validates its UTF-8. The parser is iterative, so deep nesting cannot overflow the
+/// stack.
 inline void parse(rapidjson::Document& doc, const std::string& line) {
     doc.Parse<rapidjson::kParseValidateEncodingFlag | rapidjson::kParseIterativeFlag>(line.data(),
                                                                                       line.size());
--- a/src/config/named_value.h
+++ b/src/config/named_value.h
@@ -1,4 +1,4 @@
-/// One of the words that a setting may have, with what it stands for.
+/// Pairs a word that a setting accepts with the value that the word stands for.
 #pragma once
 #include <string>
 
--- a/src/config/toml_fields.cpp
+++ b/src/config/toml_fields.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr size_t max_file_bytes = size_t{4} << 20;
-constexpr double max_duration_ns = 1e17;  // some three years
+constexpr double max_duration_ns = 1e17;  // about three years
 
 struct Unit {
-    std::string_view word;
+    std::string_view name;
     double ns;
 };
 constexpr Unit units[] = {{"us", 1e3}, {"ms", 1e6}, {"s", 1e9}, {"min", 60e9}, {"h", 3600e9}};
@@ -29,14 +29,14 @@
     if (number.ec != std::errc() || !std::isfinite(value)) return std::nullopt;
     const std::string_view unit_name(number.ptr, static_cast<size_t>(last - number.ptr));
     const auto* const unit = std::find_if(std::begin(units), std::end(units),
-                                          [&](const Unit& known) { return known.word == unit_name; });
+                                          [&](const Unit& known) { return known.name == unit_name; });
     if (unit == std::end(units)) return std::nullopt;
     const double ns = value * unit->ns;
     if (std::abs(ns) > max_duration_ns) return std::nullopt;
     return Duration{static_cast<int64_t>(std::llround(ns))};
 }
 
-std::string plain(double value) {
+std::string format_number(double value) {
     std::ostringstream text;
     text << value;
     return text.str();
@@ -47,8 +47,8 @@
 std::string in_words(Duration span) {
     const auto ns = static_cast<double>(span.ns);
     for (auto u = std::rbegin(units); u != std::rend(units); ++u)
-        if (ns >= u->ns) return plain(ns / u->ns) + std::string(u->word);
-    return plain(ns / 1e3) + "us";
+        if (ns >= u->ns) return format_number(ns / u->ns) + std::string(u->name);
+    return format_number(ns / 1e3) + "us";
 }
 
 std::string file_text(const std::string& path) {
@@ -76,7 +76,7 @@
 
 std::string Fields::position_of(const toml::node* node) const {
     toml::source_position at = node != nullptr ? node->source().begin : toml::source_position{};
-    // A value that an arm or a sweep has set has no position of its own.
+    // A value that was set by an arm or a sweep of an experiment, not by the file, has no source position.
     if (at.line == 0) at = table_->source().begin;
     return at.line == 0 ? file_ : file_ + ":" + std::to_string(at.line);
 }
@@ -86,7 +86,7 @@
 }
 
 const toml::node* Fields::find(const char* key) {
-    asked_.emplace_back(key);
+    requested_keys_.emplace_back(key);
     return table_->get(key);
 }
 
@@ -96,7 +96,7 @@
     const auto value = node->value<double>();
     const bool is_number = node->is_floating_point() || node->is_integer();
     if (!is_number || !value || !(*value >= least) || !(*value <= most))
-        wrong(key, "a number from " + plain(least) + " to " + plain(most));
+        wrong(key, "a number from " + format_number(least) + " to " + format_number(most));
     into = *value;
 }
 
@@ -119,14 +119,14 @@
 void Fields::text(const char* key, std::string& into) {
     const toml::node* node = find(key);
     if (!node) return;
-    if (!node->is_string()) wrong(key, "a text");
+    if (!node->is_string()) wrong(key, "a string");
     into = node->as_string()->get();
 }
 
-std::string Fields::word_of(const char* key) {
+std::string Fields::nonempty_text(const char* key) {
     std::string word;
     text(key, word);
-    if (has(key) && word.empty()) wrong(key, "a word");
+    if (has(key) && word.empty()) wrong(key, "a string that is not empty");
     return word;
 }
 
@@ -136,7 +136,7 @@
     const std::optional<Duration> value =
         node->is_string() ? parse_duration(node->as_string()->get()) : std::nullopt;
     if (!value || *value < least || *value > most)
-        wrong(key, "a span from \"" + in_words(least) + "\" to \"" + in_words(most) +
+        wrong(key, "a duration from \"" + in_words(least) + "\" to \"" + in_words(most) +
                        "\", written with its unit (us, ms, s, min, h)");
     into = *value;
 }
@@ -145,7 +145,8 @@
     const toml::node* node = find(key);
     std::vector<double> all;
     if (!node) return all;
-    const std::string expected = "a list of numbers from " + plain(least) + " to " + plain(most);
+    const std::string expected =
+        "a list of numbers from " + format_number(least) + " to " + format_number(most);
     if (!node->is_array()) wrong(key, expected);
     for (const toml::node& one : *node->as_array()) {
         const auto value = one.value<double>();
@@ -159,9 +160,9 @@
     const toml::node* node = find(key);
     std::vector<std::string> all;
     if (!node) return all;
-    if (!node->is_array()) wrong(key, "a list of texts");
+    if (!node->is_array()) wrong(key, "a list of strings");
     for (const toml::node& one : *node->as_array()) {
-        if (!one.is_string()) wrong(key, "a list of texts");
+        if (!one.is_string()) wrong(key, "a list of strings");
         all.push_back(one.as_string()->get());
     }
     return all;
@@ -187,8 +188,9 @@
 void Fields::finish() const {
     for (const auto& [key, node] : *table_) {
         const std::string name(key.str());
-        if (std::find(asked_.begin(), asked_.end(), name) != asked_.end()) continue;
-        std::vector<std::string> known = asked_;
+        if (std::find(requested_keys_.begin(), requested_keys_.end(), name) != requested_keys_.end())
+            continue;
+        std::vector<std::string> known = requested_keys_;
         std::sort(known.begin(), known.end());
         std::string list;
         for (const std::string& k : known) list += (list.empty() ? "" : ", ") + k;
--- a/tests/config/test_cluster_config.cpp
+++ b/tests/config/test_cluster_config.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST(ClusterConfig, AReloadKeepsEachNameAtItsIndex) {
+TEST(ClusterConfig, ReloadKeepsEachNameAtItsIndex) {
     ClusterConfig running = config_of({"chat", "call"}, {"a", "b"});
     running.policy.request_classes[0].deadline = seconds(1);
     ClusterConfig reloaded = config_of({"talk", "call"}, {"b", "c"});
@@ -40,7 +40,7 @@
     EXPECT_EQ(merged.connect_timeout, seconds(5));
 }
 
-TEST(ClusterConfig, AnErrorNamesTheFieldAndWhatWasExpected) {
+TEST(ClusterConfig, InvalidFieldIsReportedWithNameAndExpectedValue) {
     try {
         static_cast<void>(parse_cluster_config(R"({"trafficTypes":[],"ceilings":{},"invariants":7})"));
         ADD_FAILURE();
@@ -51,12 +51,12 @@
     }
 }
 
-TEST(ConfigError, SaysWhereAndWhat) {
-    const ConfigError wrong("operator.toml:3", "log.level", "a text");
-    EXPECT_STREQ(wrong.what(), "operator.toml:3: log.level: expected a text");
+TEST(ConfigError, MessageContainsFileFieldAndExpectedValue) {
+    const ConfigError wrong("operator.toml:3", "log.level", "a string");
+    EXPECT_STREQ(wrong.what(), "operator.toml:3: log.level: expected a string");
     EXPECT_EQ(wrong.file(), "operator.toml:3");
     EXPECT_EQ(wrong.field(), "log.level");
-    EXPECT_EQ(wrong.expected(), "a text");
+    EXPECT_EQ(wrong.expected(), "a string");
     const ConfigError in_file("balancer.json", ParseError("field 'seed'", "is missing"));
     EXPECT_STREQ(in_file.what(), "balancer.json: field 'seed' is missing");
     EXPECT_EQ(in_file.field(), "field 'seed'");
