--- a/tests/ci/check_docs.sh
+++ b/tests/ci/check_docs.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# tools/check-docs on a small tree: a clean page passes; each stale path, test and identifier is reported with its place.
+# Tests tools/check-docs on a small tree: a clean page passes; each missing path, test and identifier is reported with its
+# page and line.
 set -euo pipefail
 tool=$1/tools/check-docs
 tree=$(mktemp -d)
@@ -28,17 +29,17 @@
 echo '`gone_type` and src/gone.cpp, as they were then' > "$tree/docs/results.md"
 cp "$tree/docs/results.md" "$tree/docs/incidents/one.md"
 
-# The tool ends with the wanted exit code and prints the wanted lines and no others.
+# Checks that the tool exits with the given code and prints exactly the given lines.
 expect() {
     local wanted=$1 lines=$2 got=0
     "$tool" "$tree" > "$tree.out" 2> /dev/null || got=$?
     if [ "$got" -ne "$wanted" ] || [ "$(cat "$tree.out")" != "$lines" ]; then
-        echo "wanted $wanted and '$lines', got $got and:" >&2
+        echo "expected exit code $wanted and output '$lines', got exit code $got and output:" >&2
         cat "$tree.out" >&2
         exit 1
     fi
 }
-# A line that is appended to a page is reported with its number and the words given.
+# Checks that a line appended to a page is reported with its line number and the given error.
 expect_reported() {
     local page=$1 line=$2 words=$3 number
     cp "$tree/$page" "$tree.page"
@@ -65,7 +66,7 @@
 expect_reported docs/map.md '`settings.maxTries`' "'settings.maxTries' does not occur in the sources"
 expect_reported docs/map.md '`server_gone reason=7`' "'server_gone' does not occur in the sources"
 expect_reported docs/map.md 'an open `choose' "'\`' is not closed in its line"
-# Each of several is reported.
+# Each of several errors is reported.
 echo '`src/one.h` and `GoneType`' >> "$tree/README.md"
 echo '`two_gone`' >> "$tree/docs/map.md"
 expect 1 "README.md:12: 'src/one.h' no such file or folder
--- a/tests/ci/check_layers.sh
+++ b/tests/ci/check_layers.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# cmake/CheckLayers.cmake on a small tree: an include upwards and a folder that is no layer fail, with the place.
+# Tests cmake/CheckLayers.cmake on a small tree: an include of a higher layer and a folder that is not a layer are
+# reported with their location.
 set -euo pipefail
 script=$1/cmake/CheckLayers.cmake
 tree=$(mktemp -d)
@@ -8,12 +9,12 @@
 echo '#include "base/time.h"' > "$tree/policy/policy.h"
 echo '#include <vector>' > "$tree/base/time.h"
 
-# The check ends with the wanted exit code (0 or 1) and, where it fails, prints the wanted words.
+# Checks that the script exits with the given code (0 or 1) and that its output contains the given text.
 expect() {
     local wanted=$1 words=$2 got=0
     cmake "-DROOT=$tree" "-DLAYERS=base;policy" -P "$script" > "$tree.out" 2>&1 || got=$?
     if [ $((got != 0)) -ne "$wanted" ] || [[ $(tr -s ' \n' ' ' < "$tree.out") != *"$words"* ]]; then
-        echo "wanted $wanted and '$words', got $got and:" >&2
+        echo "expected exit code $wanted and output with '$words', got exit code $got and output:" >&2
         cat "$tree.out" >&2
         exit 1
     fi
