--- a/src/app/serve_command.cpp
+++ b/src/app/serve_command.cpp
@@ -24,7 +24,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);  // until the loop runs: it must not end a balancer that is still starting
     make_balancer(configuration_.bootstrap);
-    const auto shut_down = [this] { balancer_->begin_leaving(); };
+    const auto shut_down = [this] { balancer_->begin_graceful_shutdown(); };
     const SignalWatcher on_terminate(loop_, SIGTERM, shut_down);
     const SignalWatcher on_interrupt(loop_, SIGINT, shut_down);
     const SignalWatcher on_user_1(loop_, SIGUSR1, [this] { log_counters(); });
@@ -96,17 +96,17 @@
     if (!capture)
         log_.warning("recording_unavailable",
                      {{"reason", "the operator's file has no [capture] with a folder"}});
-    else if (balancer_->records())
+    else if (balancer_->is_recording())
         balancer_->stop_recording();
     else
-        balancer_->record(capture->recorder);
+        balancer_->start_recording(capture->recorder);
 }
 
 // A recording that goes on begins anew, so that new bounds apply to it.
 void ServeCommand::apply_capture_settings() {
     const auto& capture = configuration_.operator_config.capture;
-    if (capture && (capture->on || balancer_->records()))
-        balancer_->record(capture->recorder);
+    if (capture && (capture->on || balancer_->is_recording()))
+        balancer_->start_recording(capture->recorder);
     else
         balancer_->stop_recording();
 }
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -245,6 +245,6 @@
 
 std::string Balancer::metrics() const { return admin::to_json(router_.metrics()) + "\r\nend\r\n"; }
 
-void Balancer::begin_leaving() { shutdown_.begin(config_.cluster, hot_restart_.has_passed_on()); }
+void Balancer::begin_graceful_shutdown() { shutdown_.begin(config_.cluster, hot_restart_.has_passed_on()); }
 
 }  // namespace headrouter
--- a/src/proxy/balancer.h
+++ b/src/proxy/balancer.h
@@ -46,12 +46,12 @@
     void refuse_reload(const std::string& reason);
 
     /// Migrates or answers all clients, then breaks the loop.
-    void begin_leaving();
+    void begin_graceful_shutdown();
 
     /// Records the policy's events from now on; a second call begins a new recording.
-    void record(const capture::RecorderConfig& settings) { capture_.start(settings, config_.name); }
+    void start_recording(const capture::RecorderConfig& settings) { capture_.start(settings, config_.name); }
     void stop_recording() { capture_.stop(); }
-    bool records() const { return capture_.is_recording(); }
+    bool is_recording() const { return capture_.is_recording(); }
 
     const Counters& counters() const { return counters_; }
 
--- a/tests/lab_testbed/test_test_bed.cpp
+++ b/tests/lab_testbed/test_test_bed.cpp
@@ -35,7 +35,7 @@
         Life& life = lives[b];
         life.boot = parse_bootstrap_config(bed.fresh_config(b), life.clock);
         life.balancer = std::make_unique<Balancer>(loop.loop, life.boot, life.clock, log);
-        if (!keeping.folder.empty()) life.balancer->record(keeping);
+        if (!keeping.folder.empty()) life.balancer->start_recording(keeping);
         life.balancer->start();
     }
     void kill(int b) { lives[b].balancer.reset(); }
--- a/tests/proxy/test_admin_address.cpp
+++ b/tests/proxy/test_admin_address.cpp
@@ -44,7 +44,7 @@
     }
     EXPECT_LT(FileDescriptor::open_count(), descriptors_before + 20);
     EXPECT_EQ(fixture.count(Counter::admin_connections_cut), 40u);
-    fixture.balancer->begin_leaving();
+    fixture.balancer->begin_graceful_shutdown();
     Peer late = connect_peer(fixture.config.admin);
     late.write("STATUS\r\n");
     EXPECT_TRUE(fixture.receives(late, "error "));
--- a/tests/proxy/test_balancer_reload.cpp
+++ b/tests/proxy/test_balancer_reload.cpp
@@ -31,7 +31,7 @@
     Peer watch = fixture.accept(new_listener);
     EXPECT_TRUE(fixture.receives(watch, "GET /v1/servers HTTP/1.1\r\n"));
     EXPECT_TRUE(fixture.sees_close(unanswered));
-    fixture.balancer->begin_leaving();
+    fixture.balancer->begin_graceful_shutdown();
     fixture.balancer->reload(next);  // during the shutdown, too
     watch = fixture.accept(new_listener);
     const uint64_t lists = fixture.count(Counter::endpoint_updates);
--- a/tests/proxy/test_graceful_shutdown.cpp
+++ b/tests/proxy/test_graceful_shutdown.cpp
@@ -110,7 +110,7 @@
 TEST(GracefulShutdown, MigratesEstablishedRequests) {
     BalancerFixture fixture;
     auto [client, server] = fixture.establish();
-    fixture.balancer->begin_leaving();
+    fixture.balancer->begin_graceful_shutdown();
     Peer late = fixture.connect_client();
     Peer late_server = fixture.accept_attempt();
     late_server.write("UP r\r\n");
