--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -15,10 +15,11 @@
 
 constexpr Duration periodic_interval = millis(100);
 constexpr double milliseconds_per_second = 1000;
-/// A server's latency is of interest from a third of the shortest objective on.
-constexpr double objective_over_reported_latency = 3;
+/// Servers report latencies from a third of the shortest latency objective on.
+constexpr double objective_per_min_reported_latency = 3;
 
-/// In milliseconds; zero where servers report no latencies, or no request class has an objective.
+/// Returns the smallest latency that servers report, in milliseconds; zero if servers report no latencies or
+/// no request class has a latency objective.
 double min_reported_latency(const ClusterConfig& config) {
     if (!config.reports_latency) return 0;
     double shortest = 0;
@@ -27,7 +28,7 @@
         const bool is_shorter = shortest <= 0 || objective < shortest;
         if (objective > 0 && is_shorter) shortest = objective;
     }
-    return shortest * milliseconds_per_second / objective_over_reported_latency;
+    return shortest * milliseconds_per_second / objective_per_min_reported_latency;
 }
 
 ConfigError unusable_setting(const char* field, const std::string& problem) {
@@ -40,7 +41,8 @@
     return *address;
 }
 
-/// Makes `server` listen at the address that `field` names. Throws ConfigError.
+/// Makes `server` listen at the address `text`, the value of the setting `field`. Throws ConfigError if that
+/// is impossible.
 template <class Server>
 void listen_at(const char* field, const std::string& text, Server& server) {
     const Address address = configured_address(field, text);
@@ -74,7 +76,8 @@
                    {[this] { return is_serving(); }, [this] { apply_restored_configuration(); },
                     [this](int descriptors) { set_held_by_previous_process(descriptors); }},
                    log),
-      // What has arrived is read before anyone is found to be late or silent.
+      // The lowest priority lets the loop handle pending socket events first: bytes that have already arrived
+      // are read before a client or server is judged late or silent.
       periodic_tasks_(
           loop, [this] { run_periodic_tasks(); }, EV_MINPRI) {
     add_admin_commands();
@@ -99,7 +102,7 @@
 void Balancer::start() {
     static_cast<void>(discovery_address(config_));
     static_cast<void>(configured_address("listen", config_.listen));
-    listen_for_operators();
+    listen_on_admin_address();
     int64_t list_version = cached_list_version();
     if (hot_restart_.connect_to_previous()) {
         list_version = hot_restart_.take_over(list_version);
@@ -118,12 +121,13 @@
                             {"cached_endpoints", config_.cached_endpoints.entries.size()}});
 }
 
-void Balancer::listen_for_operators() {
+void Balancer::listen_on_admin_address() {
     if (!config_.admin.empty()) listen_at("ops", config_.admin, admin_server_);
 }
 
-// Where changes are pushed, the whole list costs nothing and is surer than a cached one with what changed
-// since.
+// Where discovery pushes changes, the balancer requests a full snapshot: it costs nothing and is more
+// reliable than the cached list plus the deltas since. Only where the balancer polls does it request deltas
+// from the cached version on.
 int64_t Balancer::cached_list_version() const {
     const bool has_cached_list = !config_.cached_endpoints.entries.empty();
     const bool polls = config_.cluster.policy.polls_endpoints;
@@ -141,13 +145,13 @@
     gossip_.open(addresses, static_cast<int>(config.cluster.policy.replica_index));
 }
 
-// The previous process may not have let go of the address yet, or hang: never two that speak under one
-// replica index. No decision depends on gossip, so this one serves without and tries again
-// (run_periodic_tasks).
+// The previous process may still have the gossip address bound, or it may hang, and two processes must never
+// send gossip under the same replica index. No decision depends on gossip, so this process serves without it
+// and tries to bind again in run_periodic_tasks().
 void Balancer::open_gossip_at_start() {
     if (config_.gossip_without_peers)
         log_.warning("gossip_disabled",
-                     {{"reason", "'ceilings.peers' permits messages, but field 'peers' names nobody"}});
+                     {{"reason", "'ceilings.peers' permits gossip, but field 'peers' is missing"}});
     try {
         open_gossip(config_);
     } catch (const std::system_error& error) {
@@ -162,7 +166,8 @@
 // ---- reload ----
 
 void Balancer::reload(const BootstrapConfig& next) {
-    if (hot_restart_.has_passed_on()) throw ConfigError("", ParseError("another process has taken over"));
+    if (hot_restart_.has_handed_over())
+        throw ConfigError("", ParseError("cannot reload: another process has taken over by a hot restart"));
     check_reload(config_, next);
     try {
         open_gossip(next);
@@ -176,7 +181,7 @@
     limits_.configure(config_);
     downstream_.set_descriptor_limit(limits_.available_descriptors());
     router_.reconfigure(config_.cluster);
-    apply_latency_threshold();
+    apply_min_reported_latency();
     discovery_.switch_to(config_);
     counters_.add(Counter::reloads);
     log_.info("config_reloaded", {{"discovery", config_.discovery}, {"descriptors", limits_.descriptors()}});
@@ -187,17 +192,17 @@
     log_.error("config_reload_refused", {{"reason", reason}});
 }
 
-// The policy still has the previous process's offset of the wall clock. By another one each server that has a
-// start time would look restarted, or be older than it is.
+// The restored policy state was computed with the previous process's offset of the wall clock. With another
+// offset each server that has a start time would look restarted, or older than it is.
 void Balancer::apply_restored_configuration() {
     const Duration offset = router_.wall_clock_offset();
     clock_.set_wall_clock_offset(offset);
     config_.cluster.policy.wall_clock_offset = offset;
     router_.reconfigure(config_.cluster);
-    apply_latency_threshold();
+    apply_min_reported_latency();
 }
 
-void Balancer::apply_latency_threshold() {
+void Balancer::apply_min_reported_latency() {
     upstream_.set_min_reported_latency(min_reported_latency(router_.config()));
 }
 
@@ -215,14 +220,14 @@
     router_.on_tick();
     admin_server_.time_out_idle(now);
     hot_restart_.report_descriptors(FileDescriptor::open_count());
-    if (!hot_restart_.has_passed_on() && !gossip_.is_open()) {
+    if (!hot_restart_.has_handed_over() && !gossip_.is_open()) {
         try {
             open_gossip(config_);
-        } catch (const std::system_error&) {  // reported at the start, and tried again at the next interval
+        } catch (const std::system_error&) {  // was logged at the start; the next interval tries again
         }
     }
     capture_.check(now);
-    if (shutdown_.advance(now, hot_restart_.has_passed_on())) ev_break(loop_, EVBREAK_ALL);
+    if (shutdown_.advance(now, hot_restart_.has_handed_over())) ev_break(loop_, EVBREAK_ALL);
 }
 
 std::optional<Counter> Balancer::find_shortage() {
@@ -231,20 +236,20 @@
     return limits_.shortage();
 }
 
-// Only where many balancers poll one service is there a queue in which one of them may learn of a change
-// late.
+// Only polling can leave the list outdated: where many balancers poll one discovery service, polls queue up
+// there and a balancer may receive a change late.
 bool Balancer::is_endpoint_list_outdated() const {
     return config_.cluster.policy.polls_endpoints && discovery_.is_outdated(Clock::now());
 }
 
 std::string Balancer::status() const {
     if (router_.metrics().discovered == 0) return "error no server is known yet\r\n";
-    const bool takes_clients = is_serving() && !hot_restart_.has_passed_on();
-    return takes_clients ? "done\r\n" : "error this process takes no clients\r\n";
+    const bool accepts_clients = is_serving() && !hot_restart_.has_handed_over();
+    return accepts_clients ? "done\r\n" : "error this process takes no clients\r\n";
 }
 
 std::string Balancer::metrics() const { return admin::to_json(router_.metrics()) + "\r\nend\r\n"; }
 
-void Balancer::begin_graceful_shutdown() { shutdown_.begin(config_.cluster, hot_restart_.has_passed_on()); }
+void Balancer::begin_graceful_shutdown() { shutdown_.begin(config_.cluster, hot_restart_.has_handed_over()); }
 
 }  // namespace headrouter
--- a/src/proxy/balancer.h
+++ b/src/proxy/balancer.h
@@ -1,4 +1,4 @@
-/// A whole balancer on one event loop: what an embedding program makes, starts and shuts down.
+/// The complete balancer, which an embedding program creates, starts and shuts down on one event loop.
 #pragma once
 #include <ev.h>
 
@@ -26,8 +26,8 @@
 
 namespace headrouter {
 
-/// Composes the parts and routes the events between them. Everything runs on the thread of the loop, which
-/// must outlive it, as must the log. The clock is copied.
+/// Composes the parts of the balancer and routes events between them. Everything runs on the thread of the
+/// event loop. The loop and the log must outlive the balancer; the clock is copied.
 class Balancer {
    public:
     Balancer(struct ev_loop*, const BootstrapConfig&, const Clock&, Log&);
@@ -35,20 +35,21 @@
     Balancer& operator=(const Balancer&) = delete;
     ~Balancer() = default;
 
-    /// Takes over from the running process where there is one, and serves. Throws ConfigError where an
-    /// address of the configuration cannot be used, and HotRestartError.
+    /// Takes over from the running process, if there is one, by a hot restart and starts to serve. Throws
+    /// ConfigError if an address in the configuration cannot be used, and HotRestartError if the hot restart
+    /// fails.
     void start();
 
-    /// Takes over the settings that can change under way; discovery moves to the address in `next`. Throws
-    /// ConfigError, and leaves everything as it was, where `next` cannot be used.
+    /// Applies those settings of `next` that can change at run time; discovery switches to the address in
+    /// `next`. Throws ConfigError if `next` cannot be used; the running configuration is then unchanged.
     void reload(const BootstrapConfig& next);
-    /// Counts and logs a reload that was given up, also one whose files could not be read.
+    /// Counts and logs a reload that failed, including one whose files could not be read.
     void refuse_reload(const std::string& reason);
 
-    /// Migrates or answers all clients, then breaks the loop.
+    /// Begins to migrate or answer all clients; breaks the event loop when that is done.
     void begin_graceful_shutdown();
 
-    /// Records the policy's events from now on; a second call begins a new recording.
+    /// Starts to record the policy's events; a second call begins a new recording.
     void start_recording(const capture::RecorderConfig& settings) { capture_.start(settings, config_.name); }
     void stop_recording() { capture_.stop(); }
     bool is_recording() const { return capture_.is_recording(); }
@@ -58,11 +59,11 @@
    private:
     RouterEnvironment router_environment();
     void add_admin_commands();
-    void listen_for_operators();
+    void listen_on_admin_address();
     int64_t cached_list_version() const;
     void open_gossip(const BootstrapConfig&);
     void open_gossip_at_start();
-    void apply_latency_threshold();
+    void apply_min_reported_latency();
     void apply_restored_configuration();
     void set_held_by_previous_process(int descriptors);
     void run_periodic_tasks();
@@ -74,11 +75,11 @@
 
     struct ev_loop* loop_;
     BootstrapConfig config_;
-    Clock clock_;  // its offset is the previous process's after a hot restart
+    Clock clock_;  // after a hot restart with the previous process's offset of the wall clock
     Log& log_;
     Counters counters_;
     ResourceLimits limits_;
-    TimerService timers_;  // before the router: its policy sets a timer while it is made
+    TimerService timers_;  // declared before router_, whose policy sets a timer during construction
     LingeringCloser client_closer_;
     LingeringCloser server_closer_;
     Downstream downstream_;
--- a/src/proxy/bootstrap_config.cpp
+++ b/src/proxy/bootstrap_config.cpp
@@ -51,15 +51,15 @@
             json::wrong(field.c_str(), "a list of HOST:PORT in numbers");
         const std::string address = entry.GetString();
         if (std::find(addresses.begin(), addresses.end(), address) != addresses.end())
-            throw ParseError(json::field_name(field), "names " + address + " twice");
+            throw ParseError(json::field_name(field), "lists " + address + " twice");
         addresses.push_back(address);
     }
     return addresses;
 }
 
-/// Whoever names the other balancers must be permitted to send them gossip, and name all of them. A
-/// permission alone is no fault: a platform may give it to every balancer and not have told this one where
-/// the others are.
+/// Reads the gossip addresses. A configuration that lists peers must permit gossip and list every replica. A
+/// permission without addresses is valid: a platform may permit gossip for every balancer before it knows the
+/// others' addresses.
 void parse_gossip(const Json& document, BootstrapConfig& config) {
     PolicyConfig& policy = config.cluster.policy;
     const Json* const peers = json::find(document, "peers");
@@ -69,9 +69,9 @@
     }
     if (!policy.gossip_enabled)
         throw ParseError(json::field_name("peers"),
-                         "names balancers, but the settings do not permit messages: 'ceilings.peers' is not "
+                         "lists balancers, but the settings do not permit gossip: 'ceilings.peers' is not "
                          "true, or 'groupSize' is 1");
-    // The platform also writes a bare list: the own address is then the one at the own replica index.
+    // The platform may also write a bare list; this balancer's address is then the one at its replica index.
     const bool is_bare_list = peers->IsArray();
     const std::string field = is_bare_list ? "peers" : "peers.all";
     const Json& list = is_bare_list ? *peers : json::array(json::object(document, "peers"), "all");
--- a/src/proxy/bootstrap_config.h
+++ b/src/proxy/bootstrap_config.h
@@ -1,4 +1,4 @@
-/// What a balancer is configured with when it starts, and again at each reload.
+/// The configuration that a balancer reads at its start and at each reload.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,39 +12,40 @@
 
 namespace headrouter {
 
-/// Addresses are texts of the form HOST:PORT, in numbers.
+/// Holds the configuration of one balancer. Addresses have the form HOST:PORT with a numeric host and port.
 struct BootstrapConfig {
-    /// For the log; may be empty.
+    /// Name of this balancer in the log; may be empty.
     std::string name;
-    /// Where clients connect.
+    /// Address at which clients connect.
     std::string listen;
-    /// Where the endpoint list is served.
+    /// Address of the discovery service, which serves the endpoint list.
     std::string discovery;
-    /// Where operators send commands; empty: nowhere.
+    /// Address at which operators send admin commands; empty: no admin server.
     std::string admin;
 
-    /// This balancer's own address for gossip; empty: it sends and receives none.
+    /// This balancer's own gossip address; empty: it neither sends nor receives gossip.
     std::string own_gossip_address;
-    /// The gossip addresses of all balancers by replica index, this one's among them.
+    /// Gossip addresses of all balancers, by replica index, including this one's.
     std::vector<std::string> gossip_addresses;
-    /// Gossip is permitted, but no addresses are configured.
+    /// Whether gossip is permitted although no gossip addresses are configured.
     bool gossip_without_peers = false;
 
-    /// A directory that this process shares with the next one; empty: no hot restart.
+    /// Directory of the hot-restart socket, shared with the next process; empty: no hot restart.
     std::string runtime_folder;
-    /// Of the policy's random decisions.
+    /// Seed of the policy's random decisions.
     uint64_t seed = 0;
+    /// Limit on open file descriptors.
     int max_descriptors = 1024;
-    /// Megabytes; zero: unlimited.
+    /// Memory limit in megabytes; zero: unlimited.
     size_t max_memory_mb = 0;
 
     ClusterConfig cluster;
-    /// The endpoint list as it was known before the start; empty where none was.
+    /// Endpoint list known before the start; empty if there is none.
     EndpointUpdate cached_endpoints;
 };
 
-/// Reads the platform's JSON object. `clock` puts Unix times on the time line of this process.
-/// Throws ConfigError, without a file, for a field that is missing or wrong.
+/// Parses the JSON configuration that the platform writes. `clock` converts Unix times to this process's
+/// steady time. Throws ConfigError, without a file name, if a field is missing or invalid.
 [[nodiscard]] BootstrapConfig parse_bootstrap_config(const std::string& text, const Clock& clock);
 
 }  // namespace headrouter
--- a/src/proxy/capture_control.cpp
+++ b/src/proxy/capture_control.cpp
@@ -32,18 +32,18 @@
 void CaptureControl::check(TimePoint now) {
     if (!recorder_) return;
     recorder_->tick(now);
-    count();
+    update_counters();
     report_faults();
 }
 
-void CaptureControl::count() {
+void CaptureControl::update_counters() {
     const uint64_t frames = recorder_->frames();
     const uint64_t dropped = recorder_->dropped();
     counters_.add(Counter::capture_events, frames - std::exchange(counted_frames_, frames));
     counters_.add(Counter::capture_dropped, dropped - std::exchange(counted_dropped_, dropped));
 }
 
-// One line for each recording whose disk fails; the counter tells how often.
+// Logs the first disk failure of each recording; the counter has the number of failures.
 void CaptureControl::report_faults() {
     const uint64_t faults = recorder_->faults();
     if (faults == counted_faults_) return;
--- a/src/proxy/capture_control.h
+++ b/src/proxy/capture_control.h
@@ -1,4 +1,4 @@
-/// Turns the recording of the policy's events on and off.
+/// Starts and stops the recording of the policy's events to capture files.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,8 +11,9 @@
 
 namespace headrouter {
 
-/// Owns the recorder of a running balancer. A disk that is full or fails never stops requests: events are
-/// dropped, counted and reported once. On the loop's thread; the recorder writes from a thread of its own.
+/// Owns the recorder of a running balancer. A full or failing disk never blocks requests: events are dropped
+/// and counted, and the failure is logged once. Used on the event loop's thread; the recorder writes on a
+/// thread of its own.
 class CaptureControl {
    public:
     CaptureControl(RequestRouter&, Counters&, Log&);
@@ -20,23 +21,23 @@
     CaptureControl(const CaptureControl&) = delete;
     CaptureControl& operator=(const CaptureControl&) = delete;
 
-    /// Begins a new recording, in place of the present one where there is one.
+    /// Begins a new recording; ends the current one first, if there is one.
     void start(const capture::RecorderConfig&, const std::string& balancer_name);
     void stop();
     bool is_recording() const { return recorder_ != nullptr; }
 
-    /// Hands over what has waited, and counts; to be called a few times a second.
+    /// Passes waiting events to the recorder's thread and updates the counters. Call it a few times a second.
     void check(TimePoint now);
 
    private:
-    void count();
+    void update_counters();
     void report_faults();
 
     RequestRouter& router_;
     Counters& counters_;
     Log& log_;
     std::unique_ptr<capture::Recorder> recorder_;
-    // Of the present recorder, as counted last.
+    // The current recorder's totals when the counters were last updated.
     uint64_t counted_frames_ = 0;
     uint64_t counted_dropped_ = 0;
     uint64_t counted_faults_ = 0;
--- a/src/proxy/config_reload.cpp
+++ b/src/proxy/config_reload.cpp
@@ -8,14 +8,15 @@
 void check_reload(const BootstrapConfig& running, const BootstrapConfig& next) {
     static_cast<void>(discovery_address(next));
     if (!running.gossip_addresses.empty() && next.gossip_without_peers)
-        throw ConfigError("",
-                          ParseError(json::field_name("peers"),
-                                     "is missing, though messages are permitted and were sent until now"));
+        throw ConfigError(
+            "",
+            ParseError(json::field_name("peers"),
+                       "is missing, although gossip is permitted and the running configuration has peers"));
     const bool changes_replica_index =
         next.cluster.policy.replica_index != running.cluster.policy.replica_index;
     if (!next.gossip_addresses.empty() && changes_replica_index)
         throw ConfigError("", ParseError(json::field_name("slotNo"),
-                                         "stays until the next start where balancers speak to one another"));
+                                         "cannot change before the next start while gossip is enabled"));
 }
 
 bool changes_fixed_settings(const BootstrapConfig& running, const BootstrapConfig& next) {
--- a/src/proxy/discovery_watch.h
+++ b/src/proxy/discovery_watch.h
@@ -1,4 +1,4 @@
-/// Follows the endpoint list at the configured address, and moves to another address without a gap.
+/// Watches the endpoint list at the configured address and switches to another address without a gap.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,34 +12,35 @@
 
 namespace headrouter {
 
-/// Throws ConfigError where `config.discovery` is not HOST:PORT in numbers.
+/// Returns the address of discovery. Throws ConfigError if `config.discovery` is not a numeric HOST:PORT.
 [[nodiscard]] Address discovery_address(const BootstrapConfig& config);
 
-/// The version of a list of which none is known.
+/// Stands for the version of the endpoint list while no list is known.
 constexpr int64_t no_endpoint_list = -1;
 
-/// Hands every update of the endpoint list to the request router. On the loop's thread.
+/// Passes every update of the endpoint list to the request router. Used on the event loop's thread.
 class DiscoveryWatch {
    public:
     DiscoveryWatch(struct ev_loop*, RequestRouter&, const Clock&, Counters&, Log&);
 
-    /// Asks for what has changed since `version`, or for the whole list where that is no_endpoint_list.
-    /// `valid_until`: how long the list already known counts as up to date; zero where that is not known.
+    /// Starts the watch: requests the changes since `version`, or the whole list if `version` is
+    /// no_endpoint_list. `valid_until`: time until which the known list counts as up to date; zero if
+    /// unknown.
     void start(const BootstrapConfig&, int64_t version, TimePoint valid_until);
 
-    /// Asks the address in the new configuration for the whole list, as versions are each address's own. The
-    /// present address is followed until the new one has answered: a mistyped one must not leave the balancer
-    /// without news.
+    /// Requests the whole list from the address in the new configuration, as versions of different addresses
+    /// are not comparable. The watch of the current address goes on until the new address has answered, so
+    /// that a mistyped address does not leave the balancer without updates.
     void switch_to(const BootstrapConfig&);
 
     void stop();
     bool is_running() const { return current_ != nullptr; }
 
-    /// Whether endpoints may have changed long ago without word of it, at the present or at the next address.
+    /// Returns whether the list of the current or the next address may have missed changes for too long.
     bool is_outdated(TimePoint now) const;
-    /// The version of the list as received last, or no_endpoint_list. Only while it is running.
+    /// Returns the version of the list received last, or no_endpoint_list. Requires is_running().
     int64_t version() const { return current_->version(); }
-    /// Only while it is running.
+    /// Returns until when the list counts as up to date. Requires is_running().
     TimePoint valid_until() const { return current_->fresh_until(); }
 
    private:
@@ -52,7 +53,7 @@
     Counters& counters_;
     Log& log_;
     std::unique_ptr<WatchClient> current_;
-    std::unique_ptr<WatchClient> next_;  // has not answered yet
+    std::unique_ptr<WatchClient> next_;  // until its address has answered; then it becomes current_
 };
 
 }  // namespace headrouter
--- a/src/proxy/gossip_socket.cpp
+++ b/src/proxy/gossip_socket.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// Messages read in one turn of the loop, so that other connections have theirs.
+/// Limits the messages read in one turn of the loop, so that other connections are served too.
 constexpr int max_messages_per_turn = 64;
-/// A balancer sends each other one a few messages a second at the most; a flood is none of ours.
+/// A balancer sends each peer at most a few messages a second; a higher rate does not come from a balancer.
 constexpr double max_messages_per_second_per_peer = 20;
 
 bool has_address(const Address& address, const sockaddr_storage& other) {
@@ -39,7 +39,7 @@
     if (is_bound) return fd;
     const int error = errno;
     throw std::system_error(error, std::generic_category(),
-                            "cannot speak to other balancers from " + to_string(address));
+                            "cannot bind the gossip socket to " + to_string(address));
 }
 
 }  // namespace
@@ -53,13 +53,13 @@
 GossipSocket::GossipSocket(struct ev_loop* loop, Counters& counters)
     : counters_(counters), watcher_(loop, [this](int) { receive(); }) {}
 
-void GossipSocket::open(const std::vector<Address>& addresses, int own) {
-    const Address& own_address = addresses[static_cast<size_t>(own)];
+void GossipSocket::open(const std::vector<Address>& addresses, int own_index) {
+    const Address& own_address = addresses[static_cast<size_t>(own_index)];
     const bool is_bound_already =
-        is_open() && has_address(addresses_[static_cast<size_t>(own_)], own_address.bytes);
+        is_open() && has_address(addresses_[static_cast<size_t>(own_index_)], own_address.bytes);
     if (!is_bound_already) bind_to(own_address);
     addresses_ = addresses;
-    own_ = own;
+    own_index_ = own_index;
     if (is_bound_already) return;
     refilled_at_ = Clock::now();
     outgoing_.tokens = max_tokens();
@@ -76,7 +76,7 @@
 void GossipSocket::close() {
     watcher_.stop();
     fd_.close();
-    own_ = -1;
+    own_index_ = -1;
 }
 
 double GossipSocket::max_tokens() const {
@@ -91,23 +91,23 @@
     refilled_at_ = now;
 }
 
-void GossipSocket::publish(int slot, std::string_view bytes) {
+void GossipSocket::publish(int replica_index, std::string_view bytes) {
     if (!is_open()) return;
-    if (slot != everyone_else) {
-        send_to(slot, bytes);
+    if (replica_index != everyone_else) {
+        send_to(replica_index, bytes);
         return;
     }
     for (int k = 0; k < static_cast<int>(addresses_.size()); ++k)
-        if (k != own_) send_to(k, bytes);
+        if (k != own_index_) send_to(k, bytes);
 }
 
-// A full buffer or a host that is not there loses the message, as the network may.
-void GossipSocket::send_to(int slot, std::string_view bytes) {
-    if (slot < 0 || slot >= static_cast<int>(addresses_.size())) {
+// A message is lost if the send buffer is full or the peer's host is down, as it may be lost in the network.
+void GossipSocket::send_to(int replica_index, std::string_view bytes) {
+    if (replica_index < 0 || replica_index >= static_cast<int>(addresses_.size())) {
         counters_.add(Counter::gossip_unsent);
         return;
     }
-    const Address& to = addresses_[static_cast<size_t>(slot)];
+    const Address& to = addresses_[static_cast<size_t>(replica_index)];
     refill();
     const bool is_sent =
         outgoing_.take() && sendto(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
@@ -116,16 +116,16 @@
 }
 
 void GossipSocket::receive() {
-    // One byte more than is valid shows what is too long.
+    // One byte beyond the maximum message size makes longer datagrams detectable.
     std::array<char, gossip::max_message_bytes + 1> bytes{};
     for (int k = 0; k < max_messages_per_turn && is_open(); ++k) {
         sockaddr_storage sender{};
         socklen_t size = sizeof sender;
         const ssize_t received =
             recvfrom(fd_.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&sender), &size);
-        const bool is_empty = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-        if (is_empty) return;
-        // Any other error is of a message sent before, to a port that nobody listens on.
+        const bool is_queue_empty = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+        if (is_queue_empty) return;
+        // Any other error belongs to a message sent earlier to a port without a listener (ECONNREFUSED).
         if (received >= 0) receive_from(sender, {bytes.data(), static_cast<size_t>(received)});
     }
 }
@@ -133,15 +133,15 @@
 void GossipSocket::receive_from(const sockaddr_storage& sender, std::string_view bytes) {
     const auto found = std::find_if(addresses_.begin(), addresses_.end(),
                                     [&](const Address& address) { return has_address(address, sender); });
-    const int slot = static_cast<int>(found - addresses_.begin());
-    const bool is_peer = found != addresses_.end() && slot != own_;
+    const int sender_index = static_cast<int>(found - addresses_.begin());
+    const bool is_peer = found != addresses_.end() && sender_index != own_index_;
     if (is_peer) refill();
     if (!is_peer || !incoming_.take()) {
         counters_.add(Counter::gossip_foreign);
     } else if (bytes.size() > gossip::max_message_bytes) {
         counters_.add(Counter::gossip_malformed);
     } else if (events_ != nullptr) {
-        events_->on_gossip(slot, std::string(bytes));
+        events_->on_gossip(sender_index, std::string(bytes));
     }
 }
 
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Connections are migrated within the longest deadline of a request class, but never later than this.
+/// Upper limit of the migration time, which is otherwise the longest deadline of a request class.
 constexpr Duration max_migration_time = seconds(3);
-/// After the migrations, for the last bytes to reach clients and servers.
+/// Time after the migrations in which the last bytes reach clients and servers.
 constexpr Duration drain_time = millis(400);
-/// Before the deadline: from here on also clients in the middle of a line are dismissed.
-constexpr Duration final_dismissal = millis(200);
+/// Period before the deadline in which clients that have sent a part of their request line are dismissed too.
+constexpr Duration final_dismissal_period = millis(200);
 
 Duration migration_time(const ClusterConfig& config) {
     Duration longest;
@@ -24,31 +24,32 @@
 
 }  // namespace
 
-void GracefulShutdown::begin(const ClusterConfig& config, bool has_passed_on) {
+void GracefulShutdown::begin(const ClusterConfig& config, bool has_handed_over) {
     if (has_begun_) return;
     has_begun_ = true;
     const TimePoint now = Clock::now();
-    const Duration for_migrations = migration_time(config);
-    arrivals_end_ = now + (has_passed_on ? Duration{} : shutdown_accept_period);
-    deadline_ = now + for_migrations + drain_time;
-    components_.router.begin_graceful_shutdown(for_migrations);
+    const Duration migration_duration = migration_time(config);
+    accepts_until_ = now + (has_handed_over ? Duration{} : shutdown_accept_period);
+    deadline_ = now + migration_duration + drain_time;
+    components_.router.begin_graceful_shutdown(migration_duration);
 }
 
-bool GracefulShutdown::advance(TimePoint now, bool has_passed_on) {
-    if (!has_begun_ || now < arrivals_end_) return false;
-    if (!has_passed_on && !dismiss_clients(now)) return false;
+bool GracefulShutdown::advance(TimePoint now, bool has_handed_over) {
+    if (!has_begun_ || now < accepts_until_) return false;
+    if (!has_handed_over && !dismiss_clients(now)) return false;
     return is_done() || now >= deadline_;
 }
 
-// Whoever has begun a line is waited for, nearly to the end: its last byte makes it a request that is owed an
-// answer. False while clients still come out of the listener's queue.
+// Clients that have sent a part of their request line are waited for until the final dismissal period, as the
+// last byte of the line makes it a request that must be answered. Returns false while the listener's queue
+// still has clients.
 bool GracefulShutdown::dismiss_clients(TimePoint now) {
     Downstream& downstream = components_.downstream;
-    downstream.dismiss_unidentified(now >= deadline_ - final_dismissal);
-    const bool is_over = now >= deadline_;
-    if (!is_over && downstream.size() > 0) return true;
+    downstream.dismiss_unidentified(now >= deadline_ - final_dismissal_period);
+    const bool is_overdue = now >= deadline_;
+    if (!is_overdue && downstream.size() > 0) return true;
     const bool queue_had_clients = downstream.reject_backlog();
-    return !queue_had_clients || is_over;
+    return !queue_had_clients || is_overdue;
 }
 
 bool GracefulShutdown::is_done() const {
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -1,4 +1,4 @@
-/// The orderly end of a process: clients are moved or answered before it exits.
+/// Graceful shutdown of a process: clients are migrated or answered before the process exits.
 #pragma once
 #include "base/time.h"
 #include "config/cluster_config.h"
@@ -8,9 +8,9 @@
 
 namespace headrouter {
 
-/// The phases of a shutdown: requests are still accepted for a moment, then connections are migrated, then
-/// those clients that have begun a line are waited for, and at the deadline the process ends whatever is
-/// left. On the loop's thread.
+/// Runs the phases of a shutdown: the process still accepts requests for a short period, then migrates
+/// connections, then waits for clients that have sent a part of their request line. At the deadline it exits
+/// even if clients are left. Used on the event loop's thread.
 class GracefulShutdown {
    public:
     struct Components {
@@ -21,14 +21,14 @@
     };
     explicit GracefulShutdown(Components components) : components_(components) {}
 
-    /// Only the first call counts. `has_passed_on`: another process has taken over the listener, so no client
-    /// comes here any more.
-    void begin(const ClusterConfig&, bool has_passed_on);
+    /// Begins the shutdown; later calls do nothing. `has_handed_over`: another process has taken over the
+    /// listener, so no new clients connect to this one.
+    void begin(const ClusterConfig&, bool has_handed_over);
     bool has_begun() const { return has_begun_; }
 
-    /// Advances to the next phase where it is due; to be called a few times a second. True once the process
-    /// may end.
-    [[nodiscard]] bool advance(TimePoint now, bool has_passed_on);
+    /// Advances to the next phase if it is due; call it a few times a second. Returns true once the process
+    /// may exit.
+    [[nodiscard]] bool advance(TimePoint now, bool has_handed_over);
 
    private:
     [[nodiscard]] bool dismiss_clients(TimePoint now);
@@ -36,7 +36,7 @@
 
     Components components_;
     bool has_begun_ = false;
-    TimePoint arrivals_end_;
+    TimePoint accepts_until_;
     TimePoint deadline_;
 };
 
--- a/src/proxy/hot_restart_coordinator.cpp
+++ b/src/proxy/hot_restart_coordinator.cpp
@@ -11,7 +11,7 @@
 
 constexpr int64_t nanoseconds_per_microsecond = 1000;
 
-const char* scope_name(bool whole) { return whole ? "all" : "listener"; }
+const char* scope_name(bool with_state) { return with_state ? "all" : "listener"; }
 
 }  // namespace
 
@@ -27,17 +27,17 @@
 HotRestartParent::Callbacks HotRestartCoordinator::callbacks() {
     return {[this] { return hooks_.is_serving(); },
             [this] { return components_.downstream.listener_descriptor(); }, [this] { return pack(); },
-            [this](bool whole) { pass_on(whole); }, [this] { resume(); }};
+            [this](bool with_state) { hand_over(with_state); }, [this] { resume(); }};
 }
 
-// ---- taking over from the process before ----
+// ---- takeover from the previous process ----
 
 bool HotRestartCoordinator::connect_to_previous() {
     child_ = HotRestartChild::connect_to_parent(socket_path(), log_);
     return child_ != nullptr;
 }
 
-// All state is in place before the previous process is told that it may let go.
+// All state is restored before the takeover is confirmed, which lets the previous process release its own.
 int64_t HotRestartCoordinator::take_over(int64_t cached_version) {
     const TimePoint start = Clock::now();
     int64_t list_version = cached_version;
@@ -46,8 +46,10 @@
     else
         components_.router.on_endpoints(EndpointUpdateKind::cached, config_.cached_endpoints);
     components_.downstream.adopt_listener(child_->take_listener());
-    if (!child_->confirm_takeover()) throw HotRestartError("the old process did not let go");
-    child_->watch_parent(loop_, hooks_.on_previous_process_holds);
+    if (!child_->confirm_takeover())
+        throw HotRestartError(
+            "the previous process did not confirm that it released the listener and its state");
+    child_->watch_parent(loop_, hooks_.on_previous_process_descriptors);
     log_.info("hot_restart_taken_over",
               {{"scope", scope_name(child_->has_state())},
                {"microseconds", (Clock::now() - start).ns / nanoseconds_per_microsecond},
@@ -58,7 +60,7 @@
 
 void HotRestartCoordinator::restore_state(int64_t& list_version) {
     std::string list_source;
-    components_.timers.pending().clear();  // the policy's timers are part of the state
+    components_.timers.pending().clear();  // the restored state contains the policy's timers
     try {
         hot_restart::unpack({components_.router, components_.downstream, components_.upstream,
                              components_.timers.pending(), list_version, list_source, list_valid_until_},
@@ -67,11 +69,12 @@
         throw HotRestartError(error.what());
     }
     const bool has_same_source = list_source == config_.discovery;
-    if (!has_same_source) list_version = no_endpoint_list;  // versions are each source's own
+    // Versions of different sources are not comparable.
+    if (!has_same_source) list_version = no_endpoint_list;
     hooks_.apply_configuration();
 }
 
-// ---- passing on to the next process ----
+// ---- handover to the next process ----
 
 void HotRestartCoordinator::listen_for_next() {
     const std::string path = socket_path();
@@ -92,26 +95,27 @@
                              Clock::now());
 }
 
-// Clients that have had their answers are still seen off by this process.
-void HotRestartCoordinator::pass_on(bool whole) {
-    has_passed_on_ = true;
+// This process still closes the connections of clients that have already been answered.
+void HotRestartCoordinator::hand_over(bool with_state) {
+    has_handed_over_ = true;
     components_.gossip.close();
     components_.downstream.pause_accepting(true);
     log_.info("hot_restart_passed_on",
-              {{"scope", scope_name(whole)}, {"clients", components_.downstream.size()}});
-    if (!whole) return;
+              {{"scope", scope_name(with_state)}, {"clients", components_.downstream.size()}});
+    if (!with_state) return;
     components_.downstream.detach_all();
     components_.upstream.detach_all();
     components_.router.detach_all();
     components_.discovery.stop();
-    ev_loop_fork(loop_);  // the kernel would go on reporting descriptors that the other process has too
+    // Without this the kernel would go on reporting events of descriptors that the next process shares.
+    ev_loop_fork(loop_);
 }
 
-// The next process died: whoever connects from now on is served here again.
+// The next process died: this one accepts and serves new clients again.
 void HotRestartCoordinator::resume() {
     if (!hooks_.is_serving()) return;
-    log_.warning("hot_restart_reverted", {{"reason", "the process that took over is gone"}});
-    has_passed_on_ = false;
+    log_.warning("hot_restart_reverted", {{"reason", "the process that took over has exited"}});
+    has_handed_over_ = false;
     components_.downstream.pause_accepting(false);
     if (!components_.discovery.is_running())
         components_.discovery.start(config_, no_endpoint_list, list_valid_until_);
--- a/src/proxy/hot_restart_coordinator.h
+++ b/src/proxy/hot_restart_coordinator.h
@@ -1,5 +1,4 @@
-/// The two ends of a hot restart in one balancer: taking over from the process before, passing on to the
-/// next.
+/// Both sides of a hot restart in one balancer: takeover from the previous process and handover to the next.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,7 +20,8 @@
 
 namespace headrouter {
 
-/// On the loop's thread.
+/// Takes over the listener, connections and state from the previous process at the start, and hands them over
+/// to the next process later. Used on the event loop's thread.
 class HotRestartCoordinator {
    public:
     struct Components {
@@ -33,42 +33,41 @@
         GossipSocket& gossip;
     };
     struct Hooks {
-        /// Whether this process serves, so that there is something to pass on.
+        /// Returns whether this process serves, so that it can hand over.
         std::function<bool()> is_serving;
-        /// Applies the running configuration to the state that was taken over.
+        /// Applies the running configuration to the restored state.
         std::function<void()> apply_configuration;
-        /// How many descriptors the previous process still holds.
-        std::function<void(int descriptors)> on_previous_process_holds;
+        /// Receives the number of descriptors that the previous process still holds.
+        std::function<void(int descriptors)> on_previous_process_descriptors;
     };
-    /// `config` must outlive it, and may change under it.
+    /// `config` must outlive the coordinator; the owner may change it meanwhile.
     HotRestartCoordinator(struct ev_loop*, const BootstrapConfig& config, Components, Hooks, Log&);
 
-    /// Asks the running process for what it has. Blocks for up to a few seconds. False where there is no such
-    /// process or it hands over nothing.
+    /// Requests the listener, state and connections from the running process. Blocks for up to a few seconds.
+    /// Returns false if there is no such process or it hands over nothing.
     [[nodiscard]] bool connect_to_previous();
-    /// After connect_to_previous(): takes over the listener, and all connections and state where both
-    /// processes keep them in the same form. Returns the version of the endpoint list to go on from,
-    /// `cached_version` where none was taken over. Throws HotRestartError: this balancer is then of no use,
-    /// and a new one has to start without a hot restart.
+    /// Takes over the listener, and also all connections and state if both processes have the same state
+    /// version. Requires that connect_to_previous() returned true. Returns the version of the endpoint list
+    /// from which to continue, or `cached_version` if no list was taken over. Throws HotRestartError if the
+    /// takeover fails: this balancer is then unusable, and a new one has to start without a hot restart.
     [[nodiscard]] int64_t take_over(int64_t cached_version);
     bool has_previous() const { return child_ != nullptr; }
 
-    /// Lets the next process ask this one. Where that is impossible it is logged; the balancer serves all the
-    /// same.
+    /// Listens for the next process. A failure is logged, and the balancer serves without hot restart.
     void listen_for_next();
-    /// Another process has taken over the listener, and maybe everything else.
-    bool has_passed_on() const { return has_passed_on_; }
-    /// Tells the next process how many descriptors this one still holds.
+    /// Returns whether another process has taken over the listener, possibly with all connections and state.
+    bool has_handed_over() const { return has_handed_over_; }
+    /// Reports the number of descriptors that this process still holds to the next process.
     void report_descriptors(int held) { parent_.report_descriptors_held(held); }
 
-    /// How long the endpoint list that was taken over counts as up to date; zero where none was.
+    /// Returns until when the endpoint list taken over counts as up to date; zero if none was taken over.
     TimePoint list_valid_until() const { return list_valid_until_; }
 
    private:
     HotRestartParent::Callbacks callbacks();
     void restore_state(int64_t& list_version);
     hot_restart::TransferState pack();
-    void pass_on(bool whole);
+    void hand_over(bool with_state);
     void resume();
     std::string socket_path() const {
         return hot_restart_socket_path(config_.runtime_folder, config_.listen);
@@ -82,7 +81,7 @@
     std::unique_ptr<HotRestartChild> child_;
     HotRestartParent parent_;
     TimePoint list_valid_until_;
-    bool has_passed_on_ = false;
+    bool has_handed_over_ = false;
 };
 
 }  // namespace headrouter
--- a/src/proxy/resource_limits.h
+++ b/src/proxy/resource_limits.h
@@ -1,4 +1,4 @@
-/// How many descriptors and how much memory a balancer may use.
+/// Limits on the file descriptors and the memory that a balancer may use.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace headrouter {
 
-/// The limits of this process. After a hot restart the descriptors that the previous process still holds
-/// count against them, since both have one limit together.
+/// Holds the limits of this process and checks them. After a hot restart, descriptors that the previous
+/// process still holds count against the limit, since both processes share one limit.
 class ResourceLimits {
    public:
     explicit ResourceLimits(const BootstrapConfig& config) { configure(config); }
@@ -17,17 +17,17 @@
     void configure(const BootstrapConfig&);
     void set_held_by_previous_process(int descriptors) { held_by_previous_process_ = descriptors; }
 
-    /// The limit of this process and the previous one together.
+    /// Returns the descriptor limit that this process and the previous one share.
     int descriptors() const { return descriptors_; }
-    /// What is left of it for this process.
+    /// Returns the part of the descriptor limit that is left for this process.
     int available_descriptors() const { return descriptors_ - held_by_previous_process_; }
 
-    /// The counter of the resource that does not suffice for one request more; nothing where all suffice.
+    /// Returns the counter for the resource that does not suffice for another request; none if all suffice.
     std::optional<Counter> shortage() const;
 
-    /// Descriptors that must be free for a request to be accepted: its own, and the reserve.
+    /// Descriptors that one request uses. To accept a request, these and the reserve must be free.
     static constexpr int descriptors_per_request = 2;
-    /// Kept back for discovery, the listener, the log and clients that are only told BUSY.
+    /// Descriptors reserved for discovery, the listener, the log and clients that are only answered BUSY.
     static constexpr int reserved_descriptors = 32;
 
    private:
--- a/src/proxy/timer_service.cpp
+++ b/src/proxy/timer_service.cpp
@@ -27,7 +27,8 @@
     watcher_.start_once(pending_.begin()->first - Clock::now());
 }
 
-// Only what is due at the beginning: a timer that a callback sets is for a later turn of the loop.
+// Fires only the timers that are due at the beginning: a timer set by a callback fires in a later turn of the
+// loop.
 void TimerService::run_due() {
     const TimePoint now = Clock::now();
     std::vector<uint64_t> due;
--- a/src/proxy/timer_service.h
+++ b/src/proxy/timer_service.h
@@ -1,4 +1,4 @@
-/// The policy's timers on the event loop.
+/// Timers of the policy, run by the event loop.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -9,21 +9,22 @@
 
 namespace headrouter {
 
-/// Keeps timers, each a point in time with a token, and calls back with the tokens that are due. All on the
-/// loop's thread.
+/// Keeps timers, each with a due time and a token, and calls back with the token of each timer that is due.
+/// Used on the event loop's thread.
 class TimerService {
    public:
-    /// Tokens by the time at which they are due.
+    /// Tokens by due time.
     using PendingTimers = std::multimap<TimePoint, uint64_t>;
     using Callback = std::function<void(uint64_t token)>;
 
     TimerService(struct ev_loop* loop, Callback on_due);
 
+    /// Adds a timer.
     void set(TimePoint due, uint64_t token);
-    /// Nothing is due before start(): a process that is starting must not act on timers.
+    /// Enables the callbacks. No timer fires before start(), as a starting process must not act on timers.
     void start();
 
-    /// All timers that are not due yet, for a hot restart. After a change, start() has to be called.
+    /// Returns all timers that have not fired, for a hot restart. After a change, call start() to rearm.
     PendingTimers& pending() { return pending_; }
 
    private:
--- a/tests/proxy/test_gossip_socket.cpp
+++ b/tests/proxy/test_gossip_socket.cpp
@@ -1,5 +1,5 @@
-/// Gossip between balancers over datagrams on loopback, and the configurations that allow it.
-#include <iostream>  // its streams must be there before the cases run
+/// Tests of gossip between balancers over loopback datagrams, and of the configurations that allow it.
+#include <iostream>  // its streams must be initialized before the cases run
 #include <sstream>
 
 #include "gossip/gossip_message.h"
@@ -31,7 +31,7 @@
            "name":"chat","effect":"pure","setupTargetNs":800000000,"guardTimeNs":1000000000}]}})";
 }
 
-/// The message of the error that `function` throws; "" if it throws none.
+/// Returns the message of the error that `function` throws; "" if it throws none.
 template <class Function>
 std::string error_message(Function function) {
     try {
@@ -50,7 +50,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// Two balancers and a third replica that the test plays, with one server and one discovery for all.
+/// Runs two balancers; the test plays the third replica, the only server and the discovery service.
 struct GossipFixture : EventLoopFixture {
     GossipPeer third;
     std::string gossip_address[2] = {GossipPeer().address, GossipPeer().address};
@@ -84,7 +84,7 @@
                                       clock);
     }
     uint64_t count(int k, Counter counter) { return balancers[k]->counters()[counter]; }
-    /// Expects that balancer `k` serves a client.
+    /// Sends a request to balancer `k` and expects that the server establishes it.
     EstablishedRequest establish(int k) {
         Peer client = connect_peer(listen_address[k]);
         client.write("OPEN " + std::to_string(++last_id) + " 2b c=chat,d=900,g=q\r\n");
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-TEST(GossipSocket, RoundCountsAndSumsReachTheOtherReplicas) {
+TEST(GossipSocket, SendsRoundCountsAndSumsToTheOtherReplicas) {
     GossipFixture fixture;
     const EstablishedRequest first = fixture.establish(0);
     const EstablishedRequest second = fixture.establish(1);
@@ -131,8 +131,9 @@
     EXPECT_EQ(fixture.count(1, Counter::gossip_foreign), 0u);
 }
 
-// Malformed, too long, foreign, a flood from a replica's address, none at all.
-TEST(GossipSocket, ClientsAreServedWhateverDatagramsArrive) {
+// Datagrams are malformed, too long, from a foreign address or a flood from a replica's address; at last none
+// arrive.
+TEST(GossipSocket, ServesClientsWhateverDatagramsArrive) {
     GossipFixture fixture;
     GossipPeer foreign;
     for (const size_t size : {2, 3, 256, 257, 1400})
@@ -158,8 +159,8 @@
     const auto alone = fixture.establish(0);
 }
 
-// A reload that would change the replica index, or take an address that is in use.
-TEST(GossipSocket, ARefusedReloadKeepsTheOldAddresses) {
+// The reload would change the replica index or bind an address that is in use.
+TEST(GossipSocket, RejectedReloadKeepsTheOldAddresses) {
     GossipFixture fixture;
     BootstrapConfig other_index = fixture.make_config(0);
     other_index.cluster.policy.replica_index = 2;
@@ -175,9 +176,9 @@
     const auto client = fixture.establish(0);
 }
 
-// Gossip is allowed and no replica is named: the balancer starts without gossip. A reload that loses the
-// names is refused.
-TEST(GossipSocket, AllowedWithoutAddressesItStartsWithoutGossip) {
+// Gossip is allowed but no peers are configured: the balancer starts without gossip. A reload that drops the
+// peers of the running configuration is rejected.
+TEST(GossipSocket, StartsWithoutGossipIfNoAddressesAreConfigured) {
     GossipFixture fixture;
     BootstrapConfig alone = fixture.make_config(0);
     alone.gossip_addresses.clear();
@@ -193,7 +194,7 @@
             .gossip_without_peers);
 }
 
-TEST(GossipSocket, AnInconsistentConfigurationIsRefusedWithItsKey) {
+TEST(GossipSocket, RejectsAnInconsistentConfigurationAndNamesItsKey) {
     const std::string first = "127.0.0.1:1";
     const std::string second = "127.0.0.1:2";
     const std::string two = peers_json(second, {first, second});
@@ -206,7 +207,7 @@
     for (const auto& [peers, settings] :
          {std::pair(std::string(), settings_json("", false)), {"", forbidden}, {two, allowed}, {"", allowed}})
         EXPECT_TRUE(config_error(peers, settings).empty());
-    const std::vector<std::array<std::string, 3>> refused = {
+    const std::vector<std::array<std::string, 3>> rejected = {
         {two, forbidden, "'ceilings.peers'"},
         {two, settings_json(numbers("3", "1"), true), "'peers.all' has 2"},
         {two, settings_json(numbers("2", "2"), true), "'slotNo'"},
@@ -226,11 +227,11 @@
     EXPECT_EQ(bare.own_gossip_address, second);
     EXPECT_TRUE(bare.gossip_addresses == std::vector<std::string>({first, second}));
     EXPECT_FALSE(bare.gossip_without_peers);
-    for (const auto& [peers, settings, key] : refused)
+    for (const auto& [peers, settings, key] : rejected)
         EXPECT_TRUE(contains(config_error(peers, settings), key));
 }
 
-TEST(GossipSocket, WarmUpSettingsOutOfRangeAreRefusedWithTheirKey) {
+TEST(GossipSocket, RejectsWarmUpSettingsOutOfRangeAndNamesTheirKey) {
     const std::array<std::string, 3> keys{"fallMultiple", "fallNs", "coldShare"};
     const std::array<std::string, 3> valid{"2.5", "3000000000", "0.3"};
     const auto error_of = [&](const std::array<std::string, 3>& values) {
@@ -249,13 +250,13 @@
             values[k] = value;
             EXPECT_TRUE(contains(error_of(values), "'" + keys[k] + "'"));
         }
-    const PolicyConfig old =
+    const PolicyConfig without_settings =
         parse_bootstrap_config(config_json("", settings_json("", false)), Clock()).cluster.policy;
-    EXPECT_FALSE(old.gossip_enabled);
-    EXPECT_EQ(old.overload_multiple, 3);  // the default
+    EXPECT_FALSE(without_settings.gossip_enabled);
+    EXPECT_EQ(without_settings.overload_multiple, 3);  // the default
 }
 
-// Guards against a start that fails because a stopped process still has the gossip address.
+// Guards against a failed start while a stopped process still has the gossip address bound.
 TEST(GossipSocket, ServesWhileItsAddressIsInUseAndBindsItOnceItIsFree) {
     GossipFixture fixture;
     BootstrapConfig config = fixture.make_config(0);
@@ -271,9 +272,9 @@
     fixture.balancers[0].reset();
     EXPECT_FALSE(is_in_use());
     EXPECT_TRUE(fixture.run_until(is_in_use));
-    // An address that is not of this host is still refused.
+    // An address that does not belong to this host is still rejected.
     config.own_gossip_address = "192.0.2.1:9090";
     config.gossip_addresses[0] = config.own_gossip_address;
     const auto start = [&] { Balancer(fixture.loop, config, fixture.clock, fixture.log).start(); };
-    EXPECT_TRUE(contains(error_message(start), "cannot speak"));
+    EXPECT_TRUE(contains(error_message(start), "cannot bind the gossip socket"));
 }
