--- a/tests/proxy/balancer_fixture.h
+++ b/tests/proxy/balancer_fixture.h
@@ -1,4 +1,4 @@
-/// A whole balancer in the test's process, with one server and discovery, both played by the test.
+/// Runs a complete balancer in the test's process; the test plays its only server and its discovery service.
 #pragma once
 #include <fcntl.h>
 
@@ -9,9 +9,9 @@
 
 struct BalancerFixtureOptions {
     int max_descriptors = 1024;
-    std::string server_address = {};  ///< of the one listed server; empty: the fixture's own
+    std::string server_address = {};  ///< address of the only listed server; empty: the fixture's listener
     std::string discovery_mode = "push";
-    std::string admin_address = {};  ///< empty: none
+    std::string admin_address = {};  ///< empty: no admin server
 };
 
 struct BalancerFixture : EventLoopFixture {
@@ -22,7 +22,7 @@
     Clock clock;
     BootstrapConfig config;
     std::unique_ptr<Balancer> balancer;
-    Peer discovery;  ///< the balancer's connection to discovery
+    Peer discovery;  ///< the test's end of the balancer's connection to discovery
     uint64_t last_id = 1'000'000'000'000'000;
 
     explicit BalancerFixture(const BalancerFixtureOptions& options = {}) {
@@ -51,17 +51,18 @@
 
     uint64_t count(Counter counter) const { return balancer->counters()[counter]; }
 
-    /// A request line with an id of its own.
+    /// Returns a request line with a new id.
     std::string make_request_line(const std::string& fields) {
         return "OPEN " + std::to_string(++last_id) + " 2b " + fields + "\r\n";
     }
-    /// A client that has sent its request.
+    /// Returns a client that has sent its request.
     Peer connect_client(const std::string& fields = "c=chat,d=900") {
         Peer client = connect_peer(config.listen);
         client.write(make_request_line(fields));
         return client;
     }
-    /// The connection that the balancer makes to the server for an attempt.
+    /// Accepts the balancer's connection to the server for an attempt and reads the request. Expects that the
+    /// deadline forwarded is not the client's own 900 ms.
     Peer accept_attempt() {
         Peer server = accept(server_listener);
         EXPECT_TRUE(receives(server, " 2b c=chat,d="));
@@ -69,6 +70,7 @@
         server.received.clear();
         return server;
     }
+    /// Returns a request that the server has accepted.
     EstablishedRequest establish() {
         Peer client = connect_client();
         Peer server = accept_attempt();
@@ -77,7 +79,7 @@
         client.received.clear();
         return {std::move(client), std::move(server)};
     }
-    /// Answers discovery's pending request with an endpoint list.
+    /// Answers the balancer's pending request to discovery with an endpoint list.
     void send_endpoints(const std::string& body) const {
         discovery.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                         body);
--- a/tests/proxy/checked_recv.cpp
+++ b/tests/proxy/checked_recv.cpp
@@ -1,5 +1,6 @@
-// Stands in for the C library's recv: a layer under the process may write what it was asked to read, also
-// what a kernel would drop, so every read has to name a buffer. Parameters are named as in the C library.
+// Replaces the C library's recv() and checks that each call passes a buffer. A layer between process and
+// kernel may write the bytes it was asked to read even where the kernel would discard them, so a null buffer
+// is a fault. The parameters are named as in the C library.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/syscall.h>
--- a/tests/proxy/process_fixture.h
+++ b/tests/proxy/process_fixture.h
@@ -1,4 +1,4 @@
-/// Real processes of the program, with the test as their clients, servers and discovery.
+/// Runs real headrouter processes; the test plays their clients, servers and discovery service.
 #pragma once
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -9,13 +9,13 @@
 #include <csignal>
 #include <filesystem>
 #include <fstream>
-#include <iostream>  // its streams must be there before the cases run
+#include <iostream>  // its streams must be initialized before the cases run
 
 #include "app/command_line.h"
 #include "proxy/socket_peers.h"
 
 struct ProcessFixture : EventLoopFixture {
-    /// A process and the address of its operators.
+    /// A process and its admin address.
     struct Program {
         pid_t pid = -1;
         std::string admin_address;
@@ -26,12 +26,12 @@
     std::string listen_address = unused_address();
     std::string folder = temporary_folder();
     std::string hot_restart_socket = folder + "/headrouter-" + listen_address + ".sock";
-    std::string gossip_json;          ///< of the configuration, where gossip is allowed
-    std::string gossip_allowed_json;  ///< of the settings
-    std::pair<pid_t, int> cleaner;    ///< its process, and what tells it that this one is there
+    std::string gossip_json;          ///< fields of the configuration for gossip; empty: no gossip
+    std::string gossip_allowed_json;  ///< fields of the settings that allow gossip
+    std::pair<pid_t, int> cleaner;    ///< process id, and the pipe that stays open while this process runs
     std::vector<pid_t> children;
     uint64_t last_id = 1'000'000'000'000'000;
-    std::string executable;  ///< empty: a copy of this process serves
+    std::string executable;  ///< path of the program; empty: a fork of the test process serves
     std::vector<std::pair<std::string, std::string>> environment;
 
     ProcessFixture() : cleaner(start_cleaner(folder)) {}
@@ -51,14 +51,14 @@
         EXPECT_TRUE(mkdtemp(name.data()));
         return name;
     }
-    /// Starts a process that removes the folder when it sees this one end, so that a failed test leaves
-    /// nothing.
+    /// Starts a process that removes the folder when this process ends, so that a failed test leaves no
+    /// files.
     static std::pair<pid_t, int> start_cleaner(const std::string& folder) {
         int ends[2];
         EXPECT_EQ(pipe2(ends, O_CLOEXEC), 0);
         const pid_t child = fork();
         if (child == 0) {
-            setpgid(0, 0);  // whatever ends the test
+            setpgid(0, 0);  // so that a signal to the group of the test does not end the cleaner
             close(ends[1]);
             char byte = 0;
             while (read(ends[0], &byte, 1) > 0 || errno == EINTR) errno = 0;
@@ -84,7 +84,7 @@
             "guardTimeNs":1000000000)"
                                      << settings_end;
     }
-    /// Starts a process with hot-restart folder `tmpdir`; `nullptr`: the fixture's.
+    /// Starts a process with the hot-restart folder `tmpdir`, or the fixture's folder if that is null.
     Program launch(const char* tmpdir = nullptr) {
         std::string admin_address = unused_address();
         write_config(admin_address);
@@ -93,7 +93,7 @@
     pid_t spawn(const char* tmpdir) {
         const pid_t child = fork();
         if (child == 0) {
-            prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that fails leaves nobody behind
+            prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no process behind
             close(cleaner.second);
             setenv("PROXY_CONFIG", config_path().c_str(), 1);
             if (tmpdir && *tmpdir)
@@ -109,7 +109,7 @@
         children.push_back(child);
         return child;
     }
-    /// What a process answers to a command of its operators; "" if it does not.
+    /// Returns the reply of a process to an admin command; "" if there is none.
     std::string admin_reply(const Program& program, const std::string& command) {
         Peer admin = connect_peer(program.admin_address);
         admin.write(command + "\r\n");
@@ -123,11 +123,11 @@
         EXPECT_TRUE(run_until([&] { return is_serving(program); }));
         return program;
     }
-    /// Whether a process ends within two seconds, with its status.
+    /// Returns whether a process exits within two seconds; stores its wait status.
     bool exits(pid_t child, int& status) {
         return run_until([&] { return waitpid(child, &status, WNOHANG) == child; });
     }
-    /// Tells a process to shut down, which it does with status 0.
+    /// Sends SIGTERM to a process and expects that it exits with status 0.
     void shut_down(pid_t child) {
         int status = -1;
         kill(child, SIGTERM);
@@ -135,18 +135,19 @@
         EXPECT_TRUE(WIFEXITED(status));
         EXPECT_EQ(WEXITSTATUS(status), 0);
     }
-    /// A client that has sent its request.
+    /// Returns a client that has sent its request.
     Peer connect_client() {
         Peer client = connect_peer(listen_address);
         client.write("OPEN " + std::to_string(++last_id) + " 2b c=chat,d=900\r\n");
         return client;
     }
-    /// The connection that a process makes to the server for an attempt.
+    /// Accepts a process's connection to the server for an attempt and reads the request.
     Peer accept_attempt() {
         Peer server = accept(server_listener);
         EXPECT_TRUE(receives(server, " 2b c=chat,d="));
         return server;
     }
+    /// Returns a request that the server has accepted.
     EstablishedRequest establish() {
         Peer client = connect_client();
         Peer server = accept_attempt();
@@ -154,7 +155,7 @@
         EXPECT_TRUE(receives(client, "UP r\r\n"));
         return {std::move(client), std::move(server)};
     }
-    /// Passes a line each way.
+    /// Sends a line in each direction and expects that it arrives.
     void exchange_lines(EstablishedRequest& request, const std::string& line) {
         request.client.write(line);
         request.server.write("re: " + line);
@@ -168,7 +169,7 @@
         std::copy(hot_restart_socket.begin(), hot_restart_socket.end(), address.sun_path);
         return address;
     }
-    /// Plays the starting process of a hot restart, with a state of form `state_name`.
+    /// Plays the starting process of a hot restart, whose state version is `state_name`.
     Peer connect_as_child(const std::string& state_name) const {
         Peer child{FileDescriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0)), {}};
         const sockaddr_un address = hot_restart_address();
@@ -176,7 +177,7 @@
         child.write("headrouter 1 " + state_name);
         return child;
     }
-    /// Plays the running process of a hot restart: where the next one connects.
+    /// Plays the running process of a hot restart: returns the socket to which the next process connects.
     FileDescriptor listen_as_parent() const {
         unlink(hot_restart_socket.c_str());
         const sockaddr_un address = hot_restart_address();
@@ -185,7 +186,7 @@
         EXPECT_EQ(::listen(fd.get(), 1), 0);
         return fd;
     }
-    /// The starting process, which has been sent a listener.
+    /// Accepts the starting process and sends it a listener.
     Peer accept_child(const FileDescriptor& parent) {
         Peer child;
         EXPECT_TRUE(run_until([&] {
--- a/tests/proxy/socket_peers.h
+++ b/tests/proxy/socket_peers.h
@@ -1,4 +1,4 @@
-/// What the tests of sockets share: the other ends of connections and of datagrams, driven by the test.
+/// Peers of the balancer in socket tests: ends of connections and datagram sockets that the test drives.
 #pragma once
 #include <ev.h>
 #include <netinet/in.h>
@@ -13,7 +13,7 @@
 #include "transport/clock.h"
 #include "transport/socket.h"
 
-/// The other end of a connection.
+/// The test's end of a connection.
 struct Peer {
     FileDescriptor fd;
     std::string received;
@@ -21,7 +21,7 @@
     bool saw_reset = false;
 
     bool is_closed() const { return saw_fin || saw_reset; }
-    /// Reads all that has arrived.
+    /// Reads all bytes that have arrived.
     void read() {
         char bytes[65536];
         while (fd && !is_closed()) {
@@ -50,7 +50,7 @@
     Peer server;
 };
 
-/// The loopback address of a bound socket.
+/// Returns the loopback address of a bound socket.
 inline std::string address_of(int fd) {
     sockaddr_in address{};
     socklen_t size = sizeof address;
@@ -58,7 +58,7 @@
     return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
 
-/// A balancer played by the test: receives the others' gossip, and sends what it likes.
+/// Plays a replica: receives the gossip of the balancers and sends any datagram that the test chooses.
 struct GossipPeer {
     FileDescriptor fd{::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)};
     std::string address;
@@ -72,7 +72,7 @@
         sendto(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to.bytes),
                to.size);
     }
-    /// The next datagram, or "" if none has arrived.
+    /// Returns the next datagram, or "" if none has arrived.
     std::string receive() const {
         char bytes[2048];
         const ssize_t count = recv(fd.get(), bytes, sizeof bytes, 0);
@@ -80,10 +80,11 @@
     }
 };
 
+/// Listens on a free loopback port.
 struct Listener {
     FileDescriptor fd = listen_on(*Address::from("127.0.0.1:0"));
     std::string address = address_of(fd.get());
-    /// The next connection, if one waits.
+    /// Accepts the next connection, if one is queued.
     std::optional<Peer> try_accept() const {
         FileDescriptor accepted(::accept4(fd.get(), nullptr, nullptr, SOCK_CLOEXEC));
         if (!accepted) return std::nullopt;
@@ -91,8 +92,8 @@
     }
 };
 
-/// An address for a balancer to listen at: its port was free a moment ago, and on a host of this process's
-/// own nobody takes it.
+/// Returns an address for a balancer to listen at. Its port was free a moment ago, and no other process uses
+/// its loopback host, which is derived from this process's id.
 inline std::string unused_address() {
     const std::string address = Listener{}.address;
     const auto host = std::to_string(getpid() >> 8 & 255) + "." + std::to_string(getpid() & 255);
@@ -101,7 +102,7 @@
 
 inline Peer connect_peer(const std::string& address) { return {connect_to(*Address::from(address)), {}}; }
 
-/// An event loop, and what can be expected of peers while it turns.
+/// Runs an event loop and checks expectations of peers meanwhile.
 struct EventLoopFixture {
     struct ev_loop* loop = ev_loop_new(0);
     EventLoopFixture() = default;
@@ -109,23 +110,23 @@
     EventLoopFixture& operator=(const EventLoopFixture&) = delete;
     ~EventLoopFixture() { ev_loop_destroy(loop); }
 
-    /// Turns the loop until `holds` returns true, for two seconds at most. Returns whether it did.
-    bool run_until(const std::function<bool()>& holds) const {
+    /// Runs the loop until `condition` returns true, for at most two seconds. Returns whether it did.
+    bool run_until(const std::function<bool()>& condition) const {
         const TimePoint end = Clock::now() + seconds(2);
-        bool held = holds();
-        while (!held && Clock::now() < end) {
+        bool is_met = condition();
+        while (!is_met && Clock::now() < end) {
             ev_run(loop, EVRUN_NOWAIT);
             usleep(500);
-            held = holds();
+            is_met = condition();
         }
-        return held;
+        return is_met;
     }
-    /// Turns the loop for `duration`, of two seconds at most.
+    /// Runs the loop for `duration`, at most two seconds.
     void run_for(Duration duration) const {
         const TimePoint end = Clock::now() + duration;
         run_until([&] { return Clock::now() >= end; });
     }
-    /// Whether `peer` receives `text`, within two seconds.
+    /// Succeeds if `peer` receives `text` within two seconds.
     testing::AssertionResult receives(Peer& peer, const std::string& text) const {
         const bool has_text = run_until([&] {
             peer.read();
@@ -135,7 +136,7 @@
         return testing::AssertionFailure()
                << "received \"" << peer.received << "\", expected \"" << text << '"';
     }
-    /// Whether the other side closes the connection of `peer`, within two seconds.
+    /// Succeeds if the other side closes the connection of `peer` within two seconds.
     testing::AssertionResult sees_close(Peer& peer) const {
         const bool is_closed = run_until([&] {
             peer.read();
@@ -144,7 +145,7 @@
         if (is_closed) return testing::AssertionSuccess();
         return testing::AssertionFailure() << "still open, received \"" << peer.received << '"';
     }
-    /// The next connection at `listener`, within two seconds.
+    /// Returns the next connection at `listener`; expects it within two seconds.
     Peer accept(const Listener& listener) const {
         std::optional<Peer> peer;
         run_until([&] {
--- a/tests/proxy/test_admin_address.cpp
+++ b/tests/proxy/test_admin_address.cpp
@@ -1,7 +1,7 @@
-/// The operators' address of a whole balancer.
+/// Tests of the admin address through a complete balancer.
 #include "proxy/balancer_fixture.h"
 
-TEST(AdminAddress, AnswersOperatorsBesideSilentConnections) {
+TEST(AdminAddress, AnswersCommandsWhileOtherConnectionsAreSilent) {
     BalancerFixture fixture({.admin_address = unused_address()});
     // NOLINTNEXTLINE(clang-analyzer-deadcode.DeadStores): kept open while the test runs.
     auto [client, server] = fixture.establish();
@@ -50,7 +50,7 @@
     EXPECT_TRUE(fixture.receives(late, "error "));
 }
 
-TEST(AdminAddress, NamesAnUnusableAdminAddress) {
+TEST(AdminAddress, ReportsAnUnusableAdminAddressByItsValue) {
     for (const std::string address : {"nowhere", "127.0.0.1:99999", "192.0.2.1:1"}) {
         std::string message;
         try {
--- a/tests/proxy/test_attempt_outcomes.cpp
+++ b/tests/proxy/test_attempt_outcomes.cpp
@@ -1,7 +1,7 @@
-/// How an attempt ends, and servers that fall silent, through a whole balancer.
+/// Tests of attempt outcomes and silent servers through a complete balancer.
 #include "proxy/balancer_fixture.h"
 
-TEST(AttemptOutcomes, AClientThatLeavesWhileWaitingEndsItsAttempt) {
+TEST(AttemptOutcomes, AttemptEndsWhenItsWaitingClientDisconnects) {
     BalancerFixture fixture;
     Peer client = fixture.connect_client();
     Peer server = fixture.accept_attempt();
@@ -11,7 +11,7 @@
     EXPECT_EQ(fixture.count(Counter::attempts_timed_out), 0u);
 }
 
-TEST(AttemptOutcomes, TheLastLineOrAResetDecidesTheOutcome) {
+TEST(AttemptOutcomes, LastLineOrResetOfTheServerDeterminesTheOutcome) {
     for (const auto& [line, expected] : {std::pair{"ERR\r\n", Counter::attempts_error},
                                          {"SYNTAX\r\n", Counter::attempts_error},
                                          {"BUSY\r\n", Counter::attempts_at_capacity},
@@ -37,10 +37,10 @@
     Peer server = fixture.accept_attempt();
     EXPECT_TRUE(fixture.receives(client, "BUSY"));
     EXPECT_EQ(fixture.count(Counter::attempts_timed_out), 2u);
-    EXPECT_LT(Clock::now() - begun, millis(950));  // in time for the client
+    EXPECT_LT(Clock::now() - begun, millis(950));  // soon enough for the client, whose deadline is 900 ms
 }
 
-TEST(AttemptOutcomes, ARefusedConnectCountsAsConnectFailed) {
+TEST(AttemptOutcomes, RefusedConnectCountsAsConnectFailed) {
     Listener gone;
     gone.fd.close();
     BalancerFixture fixture({.server_address = gone.address});
@@ -49,7 +49,7 @@
     EXPECT_EQ(fixture.count(Counter::attempts_connect_failed), 2u);
 }
 
-TEST(AttemptOutcomes, TheClientOfASilentServerIsMigrated) {
+TEST(AttemptOutcomes, ClientOfASilentServerIsMigrated) {
     BalancerFixture fixture;
     auto [client, server] = fixture.establish();
     client.write("anyone?\r\n");
@@ -62,8 +62,9 @@
     EXPECT_EQ(fixture.count(Counter::servers_silent), 1u);
 }
 
-// Each connection alone would be detected 1.5 s after its own client's next line.
-TEST(AttemptOutcomes, AServerSilentOnAllItsConnectionsIsDetectedSooner) {
+// A single silent connection is detected 1.5 s after its client's next line. A server that is silent on all
+// its connections must be detected sooner.
+TEST(AttemptOutcomes, ServerSilentOnAllConnectionsIsDetectedSooner) {
     BalancerFixture fixture;
     auto [first_client, first_server] = fixture.establish();
     auto [second_client, second_server] = fixture.establish();
@@ -80,14 +81,14 @@
     EXPECT_TRUE(first_client.received.empty());
     EXPECT_TRUE(second_client.received.empty());
     for (Peer* client : {&first_client, &second_client})
-        EXPECT_TRUE(fixture.receives(*client, "MOVE\r\n"));  // each silent for too long by itself
+        EXPECT_TRUE(fixture.receives(*client, "MOVE\r\n"));  // each connection exceeded its own silence limit
     EXPECT_GT(Clock::now() - begun, seconds(1.4));
     auto [fourth_client, fourth_server] = fixture.establish();
     fixture.run_for(seconds(0.1));
     const TimePoint quiet_from = Clock::now();
     third_client.write("c\r\n");
     fourth_client.write("d\r\n");
-    auto [fifth_client, fifth_server] = fixture.establish();  // is established while the others are silent
+    auto [fifth_client, fifth_server] = fixture.establish();  // established while the others are silent
     for (Peer* client : {&third_client, &fourth_client, &fifth_client})
         EXPECT_TRUE(fixture.receives(*client, "MOVE\r\n"));
     EXPECT_LT(Clock::now() - quiet_from, seconds(1.2));
--- a/tests/proxy/test_balancer_parts.cpp
+++ b/tests/proxy/test_balancer_parts.cpp
@@ -1,4 +1,4 @@
-/// The parts that Balancer composes, each alone.
+/// Unit tests of the parts that Balancer composes.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -27,7 +27,7 @@
     return config;
 }
 
-std::string refusal(const BootstrapConfig& running, const BootstrapConfig& next) {
+std::string reload_error(const BootstrapConfig& running, const BootstrapConfig& next) {
     try {
         check_reload(running, next);
         return "";
@@ -38,40 +38,40 @@
 
 }  // namespace
 
-TEST(TimerService, FiresDueTimersInOrderAndNoneBeforeItsStart) {
+TEST(TimerService, FiresDueTimersInOrderAndNoneBeforeStart) {
     const OwnedLoop loop(ev_loop_new(EVFLAG_AUTO));
-    std::vector<uint64_t> run;
-    TimerService timers(loop.get(), [&](uint64_t token) { run.push_back(token); });
+    std::vector<uint64_t> fired;
+    TimerService timers(loop.get(), [&](uint64_t token) { fired.push_back(token); });
     const TimePoint now = Clock::now();
     timers.set(now + seconds(1000), 3);
     timers.set(now - millis(1), 2);
     timers.set(now - millis(2), 1);
     ev_run(loop.get(), EVRUN_NOWAIT);
-    EXPECT_TRUE(run.empty());
+    EXPECT_TRUE(fired.empty());
     timers.start();
     ev_run(loop.get(), EVRUN_ONCE);
-    EXPECT_EQ(run, (std::vector<uint64_t>{1, 2}));
+    EXPECT_EQ(fired, (std::vector<uint64_t>{1, 2}));
     EXPECT_EQ(timers.pending().size(), 1u);
     timers.set(now, 4);
     ev_run(loop.get(), EVRUN_ONCE);
-    EXPECT_EQ(run, (std::vector<uint64_t>{1, 2, 4}));
+    EXPECT_EQ(fired, (std::vector<uint64_t>{1, 2, 4}));
 }
 
-TEST(TimerService, ATimerSetByACallbackFiresInALaterTurn) {
+TEST(TimerService, TimerSetByACallbackFiresInALaterTurn) {
     const OwnedLoop loop(ev_loop_new(EVFLAG_AUTO));
-    int runs = 0;
-    TimerService* self = nullptr;
+    int fire_count = 0;
+    TimerService* timers_in_callback = nullptr;
     TimerService timers(loop.get(), [&](uint64_t) {
-        ++runs;
-        if (runs == 1) self->set(Clock::now(), 2);
+        ++fire_count;
+        if (fire_count == 1) timers_in_callback->set(Clock::now(), 2);
     });
-    self = &timers;
+    timers_in_callback = &timers;
     timers.set(Clock::now(), 1);
     timers.start();
     ev_run(loop.get(), EVRUN_ONCE);
-    EXPECT_EQ(runs, 1);
+    EXPECT_EQ(fire_count, 1);
     ev_run(loop.get(), EVRUN_ONCE);
-    EXPECT_EQ(runs, 2);
+    EXPECT_EQ(fire_count, 2);
 }
 
 TEST(ResourceLimits, DescriptorsOfThePreviousProcessCountAgainstTheLimit) {
@@ -89,24 +89,24 @@
     EXPECT_FALSE(limits.shortage());
 }
 
-TEST(ConfigReload, ConflictsWithTheRunningConfigurationAreNamed) {
+TEST(ConfigReload, ErrorNamesTheSettingThatConflictsWithTheRunningConfiguration) {
     const BootstrapConfig running = usable_config();
-    EXPECT_EQ(refusal(running, running), "");
+    EXPECT_EQ(reload_error(running, running), "");
     BootstrapConfig next = running;
     next.discovery = "nowhere";
-    EXPECT_NE(refusal(running, next).find("'nowhere'"), std::string::npos);
+    EXPECT_NE(reload_error(running, next).find("'nowhere'"), std::string::npos);
     BootstrapConfig with_gossip = running;
     with_gossip.gossip_addresses = {"127.0.0.1:3", "127.0.0.1:4"};
     next = running;
     next.gossip_without_peers = true;
-    EXPECT_EQ(refusal(running, next), "");
-    EXPECT_NE(refusal(with_gossip, next).find("'peers' is missing"), std::string::npos);
+    EXPECT_EQ(reload_error(running, next), "");
+    EXPECT_NE(reload_error(with_gossip, next).find("'peers' is missing"), std::string::npos);
     next = with_gossip;
     next.cluster.policy.replica_index = 1;
-    EXPECT_NE(refusal(with_gossip, next).find("'slotNo'"), std::string::npos);
+    EXPECT_NE(reload_error(with_gossip, next).find("'slotNo'"), std::string::npos);
 }
 
-TEST(ConfigReload, KeepsTheNameAndTheAddresses) {
+TEST(ConfigReload, KeepsNameListenAddressAndAdminAddress) {
     const BootstrapConfig running = usable_config();
     BootstrapConfig next = running;
     next.max_descriptors = 7;
--- a/tests/proxy/test_balancer_reload.cpp
+++ b/tests/proxy/test_balancer_reload.cpp
@@ -1,11 +1,11 @@
-/// Configuration at the start and at a reload.
+/// Tests of the configuration at the start and at a reload.
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <csignal>
 #include <cstdio>
 #include <fstream>
-#include <iostream>  // its streams must be there before the cases run
+#include <iostream>  // its streams must be initialized before the cases run
 
 #include "app/command_line.h"
 #include "proxy/balancer_fixture.h"
@@ -15,7 +15,7 @@
            id + R"(","hostPort":")" + address + R"(","zone":"a","lifecycle":"SERVING"}]})";
 }
 
-TEST(BalancerReload, FollowsDiscoveryToItsNewAddress) {
+TEST(BalancerReload, SwitchesToTheNewDiscoveryAddressWithoutAGap) {
     BalancerFixture fixture;
     fixture.send_endpoints(make_snapshot(5, "s", fixture.server_listener.address));
     auto [client, server] = fixture.establish();
@@ -24,7 +24,7 @@
     BootstrapConfig next = fixture.config;
     next.discovery = replaced_listener.address;
     fixture.balancer->reload(next);
-    // The second reload comes before this address has answered.
+    // The second reload arrives before this address has answered.
     Peer unanswered = fixture.accept(replaced_listener);
     next.discovery = new_listener.address;
     fixture.balancer->reload(next);
@@ -32,13 +32,14 @@
     EXPECT_TRUE(fixture.receives(watch, "GET /v1/servers HTTP/1.1\r\n"));
     EXPECT_TRUE(fixture.sees_close(unanswered));
     fixture.balancer->begin_graceful_shutdown();
-    fixture.balancer->reload(next);  // during the shutdown, too
+    fixture.balancer->reload(next);  // also during the shutdown
     watch = fixture.accept(new_listener);
     const uint64_t lists = fixture.count(Counter::endpoint_updates);
     client.write("still there\r\n");
     EXPECT_TRUE(fixture.receives(server, "still there\r\n"));
-    EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));  // the old watch goes on until then
-    // Versions are the new address's own.
+    // The old watch goes on until the new address answers.
+    EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));
+    // Versions of the new address are independent of the old one's.
     const std::string body = make_snapshot(2, "t", fixture.server_listener.address);
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     EXPECT_TRUE(fixture.receives(watch, "since=2&"));
@@ -47,7 +48,7 @@
     EXPECT_EQ(fixture.count(Counter::reloads), 3u);
 }
 
-TEST(BalancerReload, TakesOverLimitsAndRequestClassesAndRefusesABadConfiguration) {
+TEST(BalancerReload, AppliesLimitsAndRequestClassesAndRejectsAnInvalidConfiguration) {
     BalancerFixture fixture;
     // NOLINTNEXTLINE(clang-analyzer-deadcode.DeadStores): kept open while the test runs.
     auto [client, server] = fixture.establish();
@@ -67,8 +68,8 @@
                                                next.cluster.policy.request_classes[0]);
     fixture.balancer->reload(next);
     Peer talk = fixture.connect_client("c=talk,d=900");
-    Peer placed = fixture.accept(fixture.server_listener);
-    EXPECT_TRUE(fixture.receives(placed, " 2b c=talk,d="));
+    Peer talk_server = fixture.accept(fixture.server_listener);
+    EXPECT_TRUE(fixture.receives(talk_server, " 2b c=talk,d="));
     next.max_descriptors = FileDescriptor::open_count() + 4;
     fixture.balancer->reload(next);
     Peer late = fixture.connect_client();
@@ -76,7 +77,7 @@
     EXPECT_EQ(fixture.count(Counter::refused_for_descriptors), 1u);
 }
 
-// The file's discovery address wins over the environment's.
+// The discovery address in the file takes precedence over the one in the environment.
 TEST(BalancerReload, SighupReadsTheConfigurationFileAgain) {
     BalancerFixture fixture;  // for its loop only
     Listener old_discovery;
@@ -118,7 +119,7 @@
     std::remove(path.c_str());
 }
 
-TEST(BalancerReload, NamesTheFaultOfABadConfiguration) {
+TEST(BalancerReload, InvalidConfigurationThrowsWithAMessage) {
     const Clock clock;
     for (const char* bad : {"", "{}", "[]", R"({"listen":"a"})", R"({"listen":1,"discovery":"b","seed":"1"})",
                             R"({"listen":"a","discovery":"b","seed":"xyz","settings":{}})",
--- a/tests/proxy/test_client_limits.cpp
+++ b/tests/proxy/test_client_limits.cpp
@@ -1,4 +1,4 @@
-/// Clients that use up descriptors: who is evicted, who is refused, who is still served.
+/// Tests with clients that use up the descriptors: which are evicted, rejected and still served.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -6,8 +6,8 @@
 
 #include "proxy/balancer_fixture.h"
 
-// Guards against silent clients that use up the descriptors of the others.
-TEST(ClientLimits, SilentClientsAreAnsweredAndFreeTheirDescriptors) {
+// Guards against silent clients that occupy the descriptors that other clients need.
+TEST(ClientLimits, SilentClientsAreAnsweredAndTheirDescriptorsFreed) {
     BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 240});
     std::vector<Peer> silent;
     for (int k = 0; k < 180; ++k) {
@@ -22,7 +22,7 @@
     fixture.run_for(seconds(1.7));
     for (size_t k = 0; k < silent.size(); k += 2) EXPECT_TRUE(fixture.sees_close(silent[k]));
     EXPECT_LT(Clock::now() - begun, seconds(2));
-    fixture.run_for(seconds(1.6));  // until those that began a line are answered, too
+    fixture.run_for(seconds(1.6));  // until the clients that sent a part of a line are answered, too
     for (Peer& peer : silent) {
         EXPECT_TRUE(fixture.sees_close(peer));
         EXPECT_TRUE(peer.saw_fin);
@@ -34,7 +34,7 @@
     EXPECT_GT(fixture.count(Counter::clients_cut), 0u);
 }
 
-TEST(ClientLimits, ProbingClientsThatStayFreeTheirDescriptors) {
+TEST(ClientLimits, IdleClientsAfterAProbeAreEvicted) {
     BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 400});
     std::vector<Peer> probers;
     for (int k = 0; k < 200; ++k) {
@@ -83,8 +83,8 @@
     EXPECT_TRUE(fixture.receives(client, "PONG\r\n"));
 }
 
-// Guards against evicting a slow writer while many connections never finish their line.
-TEST(ClientLimits, ASlowWriterOutlastsManyUnfinishedRequests) {
+// Guards against evicting a client that writes its request slowly while many others never finish theirs.
+TEST(ClientLimits, SlowWriterIsServedDespiteManyUnfinishedRequests) {
     BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 240});
     Peer slow = connect_peer(fixture.config.listen);
     const std::string line = fixture.make_request_line("c=chat,d=900");
@@ -115,13 +115,13 @@
     EXPECT_EQ(fixture.count(Counter::requests_rejected), 0u);
 }
 
-TEST(ClientLimits, SilentClientsAreEvictedBeforeThoseThatBeganALine) {
+TEST(ClientLimits, SilentClientsAreEvictedBeforeThoseWithAPartialLine) {
     BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 110});
-    std::vector<Peer> begun;
+    std::vector<Peer> partial;
     std::vector<Peer> silent;
     for (int k = 0; k < 10; ++k) {
-        begun.push_back(connect_peer(fixture.config.listen));
-        begun.back().write("OPEN 01");
+        partial.push_back(connect_peer(fixture.config.listen));
+        partial.back().write("OPEN 01");
         fixture.run_for(seconds(0.01));
     }
     for (int k = 0; k < 15; ++k) {
@@ -137,7 +137,7 @@
     };
     while (count_open(silent) > 0 && established.size() < 40) {
         established.push_back(fixture.establish());
-        EXPECT_TRUE(count_open(begun) == 10 || count_open(silent) == 0);
+        EXPECT_TRUE(count_open(partial) == 10 || count_open(silent) == 0);
     }
     EXPECT_EQ(fixture.count(Counter::clients_cut), 15u);
     EXPECT_EQ(fixture.count(Counter::requests_rejected), 0u);
--- a/tests/proxy/test_combined_system_faults.cpp
+++ b/tests/proxy/test_combined_system_faults.cpp
@@ -1,4 +1,4 @@
-/// Several processes whose system calls fail at random: each request has its answer.
+/// Tests that several processes answer each request while their system calls fail at random.
 #include <algorithm>
 #include <map>
 
@@ -10,20 +10,20 @@
 struct WaitingClient {
     Peer peer;
     TimePoint sent_at;
-    Duration wait;
+    Duration deadline;
 
-    bool is_over() {
+    bool has_ended() {
         peer.read();
         return peer.is_closed() || !peer.received.empty();
     }
-    bool is_late() const { return Clock::now() - sent_at > wait + millis(500); }
+    bool is_late() const { return Clock::now() - sent_at > deadline + millis(500); }
     bool has_one_answer() const {
         return peer.received.starts_with("UP r\r\n") || peer.received.starts_with("BUSY") ||
                peer.received == "ERR\r\n";
     }
 };
 
-/// The fixture's server: answers each request at once.
+/// Plays the fixture's server: answers each request at once and counts the attempts of each.
 class AnsweringServer {
    public:
     explicit AnsweringServer(const Listener& listener) : listener_(listener) {}
@@ -66,29 +66,29 @@
 
 using Fixtures = std::vector<std::unique_ptr<FaultyProcessFixture>>;
 
-/// Ten clients of each process send a request at once, one of them with a deadline of 20 ms.
-Counts play_round(const Fixtures& fixtures) {
+/// Sends ten requests at once to each process, one of them with a deadline of 20 ms, and counts the outcomes.
+Counts run_round(const Fixtures& fixtures) {
     std::vector<WaitingClient> clients;
     std::vector<AnsweringServer> servers;
     for (const auto& fixture : fixtures) {
         servers.emplace_back(fixture->server_listener);
         for (int count = 0; count < 10; ++count) {
-            const int wait_ms = count == 0 ? 20 : 900;
+            const int deadline_ms = count == 0 ? 20 : 900;
             Peer peer = connect_peer(fixture->listen_address);
             peer.write("OPEN " + std::to_string(++fixture->last_id) +
-                       " 2b c=chat,d=" + std::to_string(wait_ms) + "\r\n");
-            clients.push_back({std::move(peer), Clock::now(), millis(wait_ms)});
+                       " 2b c=chat,d=" + std::to_string(deadline_ms) + "\r\n");
+            clients.push_back({std::move(peer), Clock::now(), millis(deadline_ms)});
         }
     }
     fixtures.front()->run_until([&] {
         for (AnsweringServer& server : servers) server.advance();
         return std::all_of(clients.begin(), clients.end(),
-                           [](WaitingClient& client) { return client.is_over() || client.is_late(); });
+                           [](WaitingClient& client) { return client.has_ended() || client.is_late(); });
     });
     Counts counts;
     for (WaitingClient& client : clients) {
-        counts.late += !client.is_over();
-        counts.lost += client.is_over() && !client.has_one_answer();
+        counts.late += !client.has_ended();
+        counts.lost += client.has_ended() && !client.has_one_answer();
         counts.answered += client.has_one_answer();
     }
     constexpr int max_attempts = 2;
@@ -103,16 +103,16 @@
     return fixtures;
 }
 
-/// Ends the last one first: a later process holds copies of an earlier one's descriptors.
+/// Stops the processes, the last one first: a later process holds copies of an earlier one's descriptors.
 void end(Fixtures& fixtures) {
     while (!fixtures.empty()) fixtures.pop_back();
 }
 
 }  // namespace
 
-// Guards against lost, late and repeated requests: each kind of fault in turn and then all together, at
-// random.
-TEST(CombinedSystemFaults, EachRequestIsAnsweredUnderAllKindsOfFaults) {
+// Guards against requests that are lost, late or sent more often than allowed: first under each kind of fault
+// alone, then under all kinds together, each call failing at random.
+TEST(CombinedSystemFaults, AnswersEachRequestUnderAllKindsOfFaults) {
     const Fault faults[] = {
         {SystemCall::accept, {ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EINTR, EPROTO, ENETDOWN}},
         {SystemCall::socket, {ENFILE, EMFILE, ENOBUFS, ENOMEM}},
@@ -120,17 +120,17 @@
         {SystemCall::receive, {EINTR, EAGAIN, ENOMEM, testbed::short_transfer}},
         {SystemCall::send, {EINTR, EAGAIN, ENOBUFS, ENOMEM, testbed::short_transfer}},
         {SystemCall::wait, {EINTR}}};
-    constexpr size_t kinds = std::size(faults);
-    constexpr size_t rounds = kinds + 6;
+    constexpr size_t fault_kinds = std::size(faults);
+    constexpr size_t rounds = fault_kinds + 6;
     Fixtures fixtures = start_four_processes();
     for (size_t round = 0; round < rounds; ++round) {
-        for (size_t kind = 0; kind < kinds; ++kind) {
+        for (size_t kind = 0; kind < fault_kinds; ++kind) {
             const Fault& fault = faults[kind];
-            const bool strikes = kind == round || round >= kinds;
+            const bool is_active = kind == round || round >= fault_kinds;
             const int32_t error = fault.errors[round % fault.errors.size()];
-            for (const auto& fixture : fixtures) fixture->calls.fail(fault.call, error, strikes ? 0.3 : 0);
+            for (const auto& fixture : fixtures) fixture->calls.fail(fault.call, error, is_active ? 0.3 : 0);
         }
-        const Counts counts = play_round(fixtures);
+        const Counts counts = run_round(fixtures);
         EXPECT_EQ(counts.late, 0U) << "round " << round;
         EXPECT_EQ(counts.lost, 0U) << "round " << round;
         EXPECT_EQ(counts.sent_too_often, 0U) << "round " << round;
@@ -142,10 +142,11 @@
     end(fixtures);
 }
 
-// The check above finds lost requests: the process is told that sound connections of clients have broken.
-TEST(CombinedSystemFaults, LostRequestsAreCounted) {
+// Checks that the case above can detect lost requests: recv() reports ECONNRESET on intact client
+// connections.
+TEST(CombinedSystemFaults, CountsRequestsThatAreLost) {
     Fixtures fixtures = start_four_processes();
     for (const auto& fixture : fixtures) fixture->calls.fail(SystemCall::receive, ECONNRESET);
-    EXPECT_GT(play_round(fixtures).lost, 0U);
+    EXPECT_GT(run_round(fixtures).lost, 0U);
     end(fixtures);
 }
--- a/tests/proxy/test_connection_ends.cpp
+++ b/tests/proxy/test_connection_ends.cpp
@@ -1,4 +1,4 @@
-/// Connections that end at the worst instant; the rows are those of docs/endings.md.
+/// Tests of connections that end at critical moments; the cases are the rows of docs/endings.md.
 #include <functional>
 
 #include "policy_helpers.h"
@@ -6,9 +6,9 @@
 #include "proxy/socket_peers.h"
 #include "transport/lingering_closer.h"
 
-/// One turn of the loop, so that the test orders what comes next. epoll reports events in the order in which
-/// they became ready and libev handles them from the last to the first: here the connection to the server
-/// comes before the client that left earlier.
+/// Runs one turn of the loop, so that the test controls the order of events. epoll reports events in the
+/// order in which they became ready, and libev handles them from the last to the first: the connection to the
+/// server is handled before the client that disconnected earlier.
 static void turn_once(BalancerFixture& fixture) { ev_run(fixture.loop, EVRUN_NOWAIT); }
 
 static void wait_for_attempts(BalancerFixture& fixture, uint64_t count) {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Expects that the request is over and that nothing of it reached the server.
+/// Expects that the request has ended and that no byte of it reached the server.
 static void expect_not_forwarded(BalancerFixture& fixture) {
     EXPECT_TRUE(fixture.run_until([&] {
         return fixture.count(Counter::requests_left_by_client) + fixture.count(Counter::requests_failed) == 1;
@@ -32,12 +32,12 @@
     EXPECT_EQ(fixture.count(Counter::broken_invariants), 0u);
 }
 
-/// How a client leaves.
-struct WayToLeave {
+/// The way in which a client disconnects: last bytes, then FIN or reset.
+struct DisconnectKind {
     std::string last_bytes;
     bool is_reset;
 
-    void leave(Peer& client) const {
+    void disconnect(Peer& client) const {
         if (!last_bytes.empty()) client.write(last_bytes);
         if (is_reset)
             client.send_reset();
@@ -45,31 +45,33 @@
             client.send_fin();
     }
 };
-static const WayToLeave ways_to_leave[] = {{"", false}, {"", true}, {"more\r\n", false}, {"more\r\n", true}};
+static const DisconnectKind disconnect_kinds[] = {
+    {"", false}, {"", true}, {"more\r\n", false}, {"more\r\n", true}};
 
-// The loop does not turn while the connection to the server comes up and the client leaves.
-TEST(ConnectionEnds, DoesNotForwardAClientThatLeftWhileItsAttemptConnected) {
-    for (const WayToLeave& way : ways_to_leave) {
+// The loop does not run while the connection to the server is established and the client disconnects.
+TEST(ConnectionEnds, DoesNotForwardIfTheClientDisconnectsWhileItsAttemptConnects) {
+    for (const DisconnectKind& kind : disconnect_kinds) {
         BalancerFixture fixture;
         fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
         Peer client = fixture.connect_client();
         wait_for_attempts(fixture, 1);
         EXPECT_EQ(fixture.count(Counter::attempts_started), 1u);
-        way.leave(client);
+        kind.disconnect(client);
         usleep(20'000);
         expect_not_forwarded(fixture);
     }
 }
 
-// All of it before the balancer accepts the connection: the line is read, and so is the end behind it.
-TEST(ConnectionEnds, DoesNotForwardAClientThatLeftInTheListenerQueue) {
-    for (const WayToLeave& way : ways_to_leave) {
+// The client sends its line and disconnects before the balancer accepts the connection: the balancer must
+// read the line and the end of the stream after it.
+TEST(ConnectionEnds, DoesNotForwardIfTheClientDisconnectsInTheListenerQueue) {
+    for (const DisconnectKind& kind : disconnect_kinds) {
         BalancerFixture fixture;
         fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
         Peer client = fixture.connect_client();
         EXPECT_EQ(fixture.count(Counter::connections_accepted), 0u);
         usleep(20'000);
-        way.leave(client);
+        kind.disconnect(client);
         usleep(20'000);
         for (int k = 0; k < 20; ++k) turn_once(fixture);
         fixture.run_for(seconds(0.05));
@@ -82,9 +84,9 @@
     }
 }
 
-// Its server has just rejected it, and the client has gone: the retry sends no byte.
-TEST(ConnectionEnds, DoesNotForwardAClientThatLeftBetweenTwoAttempts) {
-    for (const WayToLeave& way : ways_to_leave) {
+// The server has just rejected the request, and the client has disconnected: the retry sends no byte.
+TEST(ConnectionEnds, DoesNotForwardIfTheClientDisconnectsBetweenTwoAttempts) {
+    for (const DisconnectKind& kind : disconnect_kinds) {
         BalancerFixture fixture;
         fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
         fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
@@ -97,15 +99,15 @@
         server.write("BUSY\r\n");
         wait_for_attempts(fixture, 2);
         EXPECT_EQ(fixture.count(Counter::attempts_started), 2u);
-        way.leave(client);
+        kind.disconnect(client);
         usleep(20'000);
         expect_not_forwarded(fixture);
     }
 }
 
-// The request is queued, as there is no server; when there is one again, the client has gone.
-TEST(ConnectionEnds, DoesNotForwardAClientThatLeftWhileItWasQueued) {
-    for (const WayToLeave& way : ways_to_leave) {
+// The request is queued, as no server is listed; the client disconnects before one is listed again.
+TEST(ConnectionEnds, DoesNotForwardIfTheClientDisconnectsWhileQueued) {
+    for (const DisconnectKind& kind : disconnect_kinds) {
         BalancerFixture fixture;
         fcntl(fixture.server_listener.fd.get(), F_SETFL, O_NONBLOCK);
         fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[]})");
@@ -114,7 +116,7 @@
         EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::requests_accepted) == 1; }));
         for (int k = 0; k < 20; ++k) turn_once(fixture);
         EXPECT_EQ(fixture.count(Counter::attempts_started), 0u);
-        way.leave(client);
+        kind.disconnect(client);
         usleep(20'000);
         fixture.send_endpoints(R"({"generation":6,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
                                fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
@@ -125,7 +127,7 @@
     }
 }
 
-// BUSY, as its request is idempotent.
+// The answer is BUSY, as the request is idempotent.
 TEST(ConnectionEnds, AnswersAClientThatHasOnlyClosedItsSendingSide) {
     BalancerFixture fixture;
     Peer client = fixture.connect_client();
@@ -138,33 +140,33 @@
     EXPECT_EQ(fixture.count(Counter::requests_left_by_client), 1u);
 }
 
-// A watch that falls silent, then an outage of discovery in which connects succeed and nothing is answered.
-TEST(ConnectionEnds, KnowsTheEndpointListHalfASecondAfterDiscoveryIsBack) {
+// The watch stalls; then, in an outage, discovery accepts connections but answers no request.
+TEST(ConnectionEnds, ReceivesTheEndpointListHalfASecondAfterDiscoveryRecovers) {
     BalancerFixture fixture;
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers HTTP/1.1"));
     fixture.send_endpoints(R"({"generation":5,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
                            fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
     EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));
     const TimePoint silent_from = Clock::now();
-    Peer unanswered = fixture.accept(fixture.discovery_listener);  // the silent watch is opened anew
+    Peer unanswered = fixture.accept(fixture.discovery_listener);  // the balancer reopens the silent watch
     EXPECT_LT(Clock::now() - silent_from, seconds(1.1));
     while (Clock::now() - silent_from < seconds(3)) {
         std::optional<Peer> next = fixture.discovery_listener.try_accept();
         fixture.run_for(seconds(0.01));
         if (next) unanswered = std::move(*next);
     }
-    const TimePoint back_at = Clock::now();
+    const TimePoint recovered_at = Clock::now();
     fixture.discovery = fixture.accept(fixture.discovery_listener);
     EXPECT_TRUE(fixture.receives(fixture.discovery, "since=5"));
     fixture.send_endpoints(R"({"generation":6,"reset":false,"instances":[{"instanceId":"s","hostPort":")" +
                            fixture.server_listener.address + R"(","lifecycle":"DRAINING"}]})");
     EXPECT_TRUE(fixture.run_until([&] { return fixture.count(Counter::endpoint_updates) == 2; }));
-    EXPECT_LT(Clock::now() - back_at, seconds(0.5));
+    EXPECT_LT(Clock::now() - recovered_at, seconds(0.5));
 }
 
-// Guards against an answer that is lost when the connection is evicted while its client reads late and bytes
-// of the client are unread.
-TEST(ConnectionEnds, AnAnswerArrivesThoughItsLingeringConnectionIsEvicted) {
+// Guards against losing an answer when the lingering connection is evicted while its client still has to read
+// the answer and the balancer has unread bytes of the client.
+TEST(ConnectionEnds, DeliversTheAnswerWhenTheLingeringConnectionIsEvicted) {
     EventLoopFixture fixture;
     Listener listener;
     Peer client = {FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), {}};
@@ -196,9 +198,10 @@
     EXPECT_TRUE(client.saw_fin);
 }
 
-// A request that is still unread when its connection is the oldest silent one and others come is read, not
-// evicted. An evicted prober is answered BUSY, as a request of its own may be on the way.
-TEST(ConnectionEnds, AProberThatGoesOnWithARequestIsServedOrAnswered) {
+// The connection that would be evicted next has an unread request when other clients connect: the balancer
+// must read the request instead of evicting the connection. An evicted prober is answered BUSY, as a request
+// of its own may already be on the way.
+TEST(ConnectionEnds, ServesOrAnswersAProberThatSendsARequest) {
     BalancerFixture fixture({.max_descriptors = FileDescriptor::open_count() + 400});
     std::vector<Peer> probers;
     std::vector<Peer> others;
@@ -209,7 +212,7 @@
     }
     for (Peer& peer : probers) EXPECT_TRUE(fixture.receives(peer, "PONG\r\n"));
     fixture.run_for(seconds(0.15));
-    // The loop does not turn while this and the others arrive.
+    // The loop does not run while this request and the other connections arrive.
     probers[0].write(fixture.make_request_line("c=chat,d=900"));
     usleep(5'000);
     for (int k = 0; k < 30; ++k) others.push_back(connect_peer(fixture.config.listen));
@@ -226,8 +229,8 @@
     }
 }
 
-// A shared discovery has rejected this balancer for six seconds, while others may know that a server drains.
-// A discovery that does not answer at all stops nothing.
+// A shared discovery has rejected this balancer for six seconds, while other balancers may already know that
+// a server drains. If discovery does not answer at all, the balancer goes on forwarding.
 TEST(ConnectionEnds, DoesNotForwardWhileARejectingDiscoveryMayHaveANewerList) {
     for (const bool rejects : {true, false}) {
         BalancerFixture fixture({.discovery_mode = "ask"});
@@ -272,9 +275,9 @@
         EXPECT_TRUE(fixture.sees_close(late));
         EXPECT_EQ(fixture.count(Counter::refused_for_outdated_list), 1u);
         EXPECT_EQ(fixture.count(Counter::attempts_started), 1u);
-        early.write("still here\r\n");  // established requests stay
+        early.write("still here\r\n");  // established requests continue
         EXPECT_TRUE(fixture.receives(server, "still here\r\n"));
-        server.write("heard\r\n");  // or it would count as silent
+        server.write("heard\r\n");  // without a line the server would count as silent
         answers = true;
         while (fixture.count(Counter::endpoint_updates) < 2 && Clock::now() - list_received_at < seconds(40))
             answer_polls();
--- a/tests/proxy/test_discovery_watch.cpp
+++ b/tests/proxy/test_discovery_watch.cpp
@@ -1,4 +1,4 @@
-/// The endpoint list from discovery, through a whole balancer.
+/// Tests of the endpoint list from discovery through a complete balancer.
 #include "proxy/balancer_fixture.h"
 
 TEST(DiscoveryWatch, FollowsTheEndpointListThroughDiscoveryFaults) {
@@ -9,13 +9,13 @@
                            fixture.server_listener.address + R"(","lifecycle":"SERVING"}]})");
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers?since=5&timeout_ms=500 HTTP/1.1\r\n"));
     fixture.send_endpoints("{\"generation\":");
-    // After a malformed answer: the complete list again, over a new connection.
+    // After a malformed answer the balancer requests the whole list over a new connection.
     fixture.discovery = fixture.accept(fixture.discovery_listener);
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers HTTP/1.1\r\n"));
     EXPECT_EQ(fixture.count(Counter::endpoint_updates_malformed), 1u);
     fixture.discovery.write("SSH-2.0\r\n");
     fixture.discovery = fixture.accept(fixture.discovery_listener);
-    // After no answer: polled again, over a new connection.
+    // After a request without an answer it polls again over a new connection.
     fixture.discovery = fixture.accept(fixture.discovery_listener);
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers HTTP/1.1\r\n"));
     EXPECT_EQ(fixture.count(Counter::discovery_requests_failed), 3u);
@@ -26,12 +26,12 @@
     EXPECT_EQ(fixture.count(Counter::attempts_started), 0u);
 }
 
-// Guards against balancers that all poll a shared discovery at once: a rejected one backs off.
-TEST(DiscoveryWatch, ASharedDiscoveryIsPolledOnceAndGetsABackoffAfterARejection) {
+// Guards against balancers that all poll a shared discovery at once: a balancer that is rejected backs off.
+TEST(DiscoveryWatch, PollsASharedDiscoveryOnceAndBacksOffAfterARejection) {
     BalancerFixture fixture({.discovery_mode = "ask"});
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers?since=1&timeout_ms=1500 HTTP/1.1\r\n"));
-    fixture.run_for(seconds(0.9));  // a watch that is pending is no silence
-    fixture.send_endpoints(R"({"generation":0,"reset":false,"instances":[]})");  // it counts from anew
+    fixture.run_for(seconds(0.9));  // a pending watch does not count as silent
+    fixture.send_endpoints(R"({"generation":0,"reset":false,"instances":[]})");  // its versions restart
     fixture.discovery = fixture.accept(fixture.discovery_listener);
     EXPECT_TRUE(fixture.receives(fixture.discovery, "GET /v1/servers HTTP/1.1\r\n"));
     fixture.send_endpoints(R"({"generation":1,"reset":true,"instances":[]})");
@@ -53,9 +53,9 @@
     EXPECT_TRUE(fixture.receives(*next, "GET /v1/servers?since=1&timeout_ms=1500 HTTP/1.1\r\n"));
 }
 
-// A Retry-After in seconds is kept, with some jitter; one that is no such number is ignored.
-TEST(DiscoveryWatch, KeepsTheRetryAfterOfARejectingDiscovery) {
-    for (const auto& [header, least_seconds, most_seconds] :
+// A Retry-After in seconds is honoured, with jitter; any other value is ignored.
+TEST(DiscoveryWatch, HonoursTheRetryAfterOfARejectingDiscovery) {
+    for (const auto& [header, min_seconds, max_seconds] :
          {std::tuple{"Retry-After: 1\r\n", 0.95, 2.1},
           {"retry-after: Fri, 31 Dec 1999 23:59:59 GMT\r\n", 0.0, 0.6},
           {"Retry-After: -7\r\n", 0.0, 0.6}}) {
@@ -67,10 +67,10 @@
                                 "Content-Length: 0\r\nConnection: close\r\n\r\n");
         EXPECT_TRUE(fixture.sees_close(fixture.discovery));
         const TimePoint begun = Clock::now();
-        fixture.run_for(seconds(least_seconds));
+        fixture.run_for(seconds(min_seconds));
         std::optional<Peer> next = fixture.discovery_listener.try_accept();
-        EXPECT_TRUE(!next || least_seconds == 0.0);
-        while (!next && Clock::now() - begun < seconds(most_seconds)) {
+        EXPECT_TRUE(!next || min_seconds == 0.0);
+        while (!next && Clock::now() - begun < seconds(max_seconds)) {
             fixture.run_for(millis(10));
             next = fixture.discovery_listener.try_accept();
         }
--- a/tests/proxy/test_graceful_shutdown.cpp
+++ b/tests/proxy/test_graceful_shutdown.cpp
@@ -1,23 +1,24 @@
-/// Graceful shutdown, also of processes that are stopped (SIGSTOP) meanwhile.
+/// Tests of graceful shutdown, including processes that are stopped (SIGSTOP) meanwhile.
 #include "proxy/balancer_fixture.h"
 #include "proxy/process_fixture.h"
 
-/// Stops a process; it goes on at SIGCONT.
+/// Stops a process until SIGCONT. Returns whether it has stopped.
 static bool stop(pid_t child) {
     int status = 0;
     kill(child, SIGSTOP);
     return waitpid(child, &status, WUNTRACED) == child && WIFSTOPPED(status);
 }
 
-static void leave(Peer& client, bool by_reset) {
+static void disconnect(Peer& client, bool by_reset) {
     if (by_reset)
         client.send_reset();
     else
         client.send_fin();
 }
 
-// Stopped until its shutdown is overdue; forty clients connect and send their requests meanwhile.
-TEST(GracefulShutdown, AnswersClientsInTheListenerQueueOfAProcessThatEnds) {
+// The process is stopped until its shutdown deadline has passed; forty clients connect and send their
+// requests meanwhile.
+TEST(GracefulShutdown, AnswersClientsInTheListenerQueueBeforeItExits) {
     ProcessFixture fixture;
     const auto program = fixture.start();
     kill(program.pid, SIGTERM);
@@ -35,8 +36,9 @@
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// The line comes in pieces, the last one when all other clients have gone; a second SIGTERM changes nothing.
-TEST(GracefulShutdown, WaitsForTheRestOfALineThatBeganBefore) {
+// The line arrives in pieces, the last piece when all other clients have disconnected; a second SIGTERM has
+// no effect.
+TEST(GracefulShutdown, WaitsForTheRestOfAPartialRequestLine) {
     ProcessFixture fixture;
     const auto program = fixture.start();
     Peer slow = connect_peer(fixture.listen_address);
@@ -49,7 +51,7 @@
     fixture.run_for(seconds(0.4));
     EXPECT_TRUE(fixture.receives(silent, "BUSY\r\n"));
     silent.fd.close();
-    fixture.run_for(seconds(0.3));  // no other client keeps the process
+    fixture.run_for(seconds(0.3));  // no other client keeps the process running
     slow.write("at,d=900\r\n");
     EXPECT_TRUE(fixture.receives(slow, "BUSY\r\n"));
     int status = -1;
@@ -58,8 +60,8 @@
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// The client comes, sends its request and leaves while the process is stopped.
-TEST(GracefulShutdown, DoesNotForwardAClientThatLeftWhileTheProcessWasStopped) {
+// Each client connects, sends its request and disconnects while the process is stopped.
+TEST(GracefulShutdown, DoesNotForwardClientsThatDisconnectWhileTheProcessIsStopped) {
     for (const bool by_reset : {false, true}) {
         ProcessFixture fixture;
         const auto program = fixture.start();
@@ -68,7 +70,7 @@
         std::vector<Peer> clients;
         for (int k = 0; k < 20; ++k) clients.push_back(fixture.connect_client());
         fixture.run_for(seconds(0.4));
-        for (Peer& client : clients) leave(client, by_reset);
+        for (Peer& client : clients) disconnect(client, by_reset);
         fixture.run_for(seconds(0.4));
         kill(program.pid, SIGCONT);
         fixture.run_for(seconds(0.5));
@@ -79,9 +81,9 @@
     }
 }
 
-// The same while the next process starts, and neither process forwards them. The clients come after the fork,
-// or the child would hold their connections open.
-TEST(GracefulShutdown, DoesNotForwardAClientThatLeftDuringAHotRestart) {
+// The same while the next process starts: neither process forwards the requests. The clients connect after
+// the fork, or the child would hold their connections open.
+TEST(GracefulShutdown, DoesNotForwardClientsThatDisconnectDuringAHotRestart) {
     for (const bool by_reset : {false, true}) {
         ProcessFixture fixture;
         const auto old = fixture.start();
@@ -92,7 +94,7 @@
         std::vector<Peer> clients;
         for (int k = 0; k < 20; ++k) clients.push_back(fixture.connect_client());
         fixture.run_for(seconds(0.05));
-        for (Peer& client : clients) leave(client, by_reset);
+        for (Peer& client : clients) disconnect(client, by_reset);
         fixture.run_for(seconds(0.35));
         kill(old.pid, SIGCONT);
         EXPECT_TRUE(fixture.run_until([&] { return fixture.is_serving(next); }));
--- a/tests/proxy/test_line_forwarding.cpp
+++ b/tests/proxy/test_line_forwarding.cpp
@@ -1,4 +1,4 @@
-/// Lines, FIN and reset between a client and its server, through a whole balancer.
+/// Tests of forwarding lines, FIN and reset between a client and its server through a complete balancer.
 #include <string_view>
 #include <vector>
 
@@ -25,7 +25,7 @@
     EXPECT_EQ(fixture.count(Counter::requests_completed), 1u);
 }
 
-TEST(LineForwarding, MirrorsFinAsFinAndResetAsReset) {
+TEST(LineForwarding, ForwardsFinAsFinAndResetAsReset) {
     BalancerFixture fixture;
     auto [client, server] = fixture.establish();
     client.send_reset();
@@ -43,14 +43,14 @@
     EXPECT_TRUE(third_client.saw_reset);
 }
 
-// Guards against an answer that is lost because closing with unread input resets the connection.
-TEST(LineForwarding, AnAnswerArrivesThoughClientBytesAreUnread) {
+// Guards against losing an answer because closing a connection with unread input resets it.
+TEST(LineForwarding, DeliversTheAnswerWhenClientBytesAreUnread) {
     BalancerFixture fixture;
     Peer client = connect_peer(fixture.config.listen);
-    const std::string much(1 << 20, 'y');
+    const std::string many_bytes(1 << 20, 'y');
     size_t sent = 0;
     EXPECT_TRUE(fixture.run_until([&] {
-        const ssize_t count = ::send(client.fd.get(), much.data(), much.size(), MSG_NOSIGNAL);
+        const ssize_t count = ::send(client.fd.get(), many_bytes.data(), many_bytes.size(), MSG_NOSIGNAL);
         if (count > 0) sent += static_cast<size_t>(count);
         EXPECT_TRUE(LineConnection::total_buffered_bytes() < (64 << 10));
         return sent > (size_t{60} << 20);
@@ -61,7 +61,7 @@
     EXPECT_EQ(fixture.count(Counter::attempts_started), 0u);
 }
 
-TEST(LineForwarding, AClientThatSendsBeforeItsAnswerGetsAnError) {
+TEST(LineForwarding, AnswersWithAnErrorIfTheClientSendsBeforeItsAnswer) {
     BalancerFixture fixture;
     const std::string two =
         fixture.make_request_line("c=chat,d=900") + fixture.make_request_line("c=chat,d=900");
@@ -78,7 +78,7 @@
     EXPECT_TRUE(fixture.sees_close(waiting));
     EXPECT_TRUE(waiting.saw_fin);
     EXPECT_TRUE(fixture.sees_close(server));
-    Peer prober = connect_peer(fixture.config.listen);  // reads none of its answers
+    Peer prober = connect_peer(fixture.config.listen);  // does not read its answers
     std::string pings;
     for (int k = 0; k < 4000; ++k) pings += "PING\r\n";
     EXPECT_TRUE(fixture.run_until([&] {
--- a/tests/proxy/test_system_faults.cpp
+++ b/tests/proxy/test_system_faults.cpp
@@ -1,8 +1,8 @@
-/// A process of the program whose system calls fail while it serves.
+/// Tests of a headrouter process whose system calls fail while it serves.
 #include "proxy/faulty_process_fixture.h"
 
-// Guards against a loop that spins while accept fails.
-TEST(SystemFaults, AClientIsServedAfterAcceptHasFailedForAWhile) {
+// Guards against a busy event loop while accept fails.
+TEST(SystemFaults, ServesAClientAfterAcceptHasFailedForAWhile) {
     for (const int error :
          {ECONNABORTED, EPROTO, ENETUNREACH, EHOSTUNREACH, EINTR, ENFILE, EMFILE, ENOBUFS, ENOMEM}) {
         FaultyProcessFixture fixture;
@@ -17,8 +17,8 @@
     }
 }
 
-// Guards against a failed attempt for a connect that goes on by itself.
-TEST(SystemFaults, AnInterruptedConnectIsNotAFailure) {
+// Guards against failing an attempt on EINTR although the kernel goes on with the connect.
+TEST(SystemFaults, InterruptedConnectIsNotAFailure) {
     FaultyProcessFixture fixture;
     fixture.calls.fail(SystemCall::connect, EINTR);
     Peer client = fixture.connect_client();
@@ -26,8 +26,8 @@
     EXPECT_GT(fixture.calls.injected(SystemCall::connect), 0U);
 }
 
-// Guards against a failure penalty for a server when this machine is short of something.
-TEST(SystemFaults, AServerIsNotPenalizedForWhatThisMachineLacks) {
+// Guards against penalizing a server for a shortage of the balancer's own machine.
+TEST(SystemFaults, ServerIsNotPenalizedForLocalShortages) {
     const std::pair<SystemCall, int> faults[] = {
         {SystemCall::socket, ENFILE},         {SystemCall::socket, EMFILE},
         {SystemCall::socket, ENOBUFS},        {SystemCall::socket, ENOMEM},
@@ -40,7 +40,7 @@
         std::vector<Peer> clients;
         for (int count = 0; count < 8; ++count) clients.push_back(fixture.connect_client());
         for (Peer& client : clients) EXPECT_TRUE(fixture.is_answered(client)) << std::strerror(error);
-        // Two attempts a request at the most, and a few calls of discovery's.
+        // At most two attempts for each request, and a few calls for discovery.
         EXPECT_LT(fixture.calls.injected(call), 60U) << std::strerror(error);
         fixture.calls.stop(call);
         Peer next = fixture.connect_client();
@@ -69,8 +69,8 @@
     EXPECT_GT(fixture.calls.injected(SystemCall::send), 0U);
 }
 
-// Guards against errors other than ECONNRESET that leave a client waiting.
-TEST(SystemFaults, ABrokenServerConnectionClosesItsClientWhateverTheError) {
+// Guards against handling ECONNRESET only: other errors must not leave a client waiting.
+TEST(SystemFaults, BrokenServerConnectionClosesItsClientWhateverTheError) {
     for (const int32_t error : {ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET, EPIPE}) {
         FaultyProcessFixture fixture;
         auto request = fixture.establish();
@@ -82,8 +82,8 @@
     }
 }
 
-// Guards against clients in the listener queue that are lost when accept fails at the end of a shutdown.
-TEST(SystemFaults, AnswersClientsInTheListenerQueueOfAProcessThatEndsAfterAcceptFailed) {
+// Guards against losing clients in the listener queue when accept fails at the end of a shutdown.
+TEST(SystemFaults, AnswersClientsInTheListenerQueueAfterAcceptFailsDuringShutdown) {
     for (const int error : {ENFILE, ENOBUFS, ENOMEM, ECONNABORTED}) {
         FaultyProcessFixture fixture;
         fixture.calls.fail(SystemCall::accept, error);
@@ -97,13 +97,13 @@
     }
 }
 
-// The library of failing calls ends the process where its table is missing or of another size.
-TEST(SystemFaults, TheLibraryRefusesAMissingOrShortTable) {
+// The library that injects failing calls ends the process if its table is missing or has the wrong size.
+TEST(SystemFaults, FailingCallsLibraryRejectsAMissingOrShortTable) {
     ProcessFixture fixture;
-    fixture.executable = built("headrouter");
+    fixture.executable = build_path("headrouter");
     std::ofstream(fixture.folder + "/short") << "short";
     for (const char* name : {"/nowhere", "/short"}) {
-        fixture.environment = {{"LD_PRELOAD", built("libheadrouter_failing_calls.so")},
+        fixture.environment = {{"LD_PRELOAD", build_path("libheadrouter_failing_calls.so")},
                                {testbed::failing_calls_variable, fixture.folder + name}};
         int status = -1;
         EXPECT_TRUE(fixture.exits(fixture.launch().pid, status));
@@ -112,7 +112,7 @@
     }
 }
 
-TEST(SystemFaults, TheLibrariesAreBuilt) {
+TEST(SystemFaults, ProgramAndPreloadedLibrariesAreBuilt) {
     for (const char* name : {"libheadrouter_failing_calls.so", "libheadrouter_clock.so", "headrouter"})
-        EXPECT_EQ(access(built(name).c_str(), R_OK), 0) << built(name) << " was not built";
+        EXPECT_EQ(access(build_path(name).c_str(), R_OK), 0) << build_path(name) << " was not built";
 }
--- a/tests/proxy/test_wall_clock_steps.cpp
+++ b/tests/proxy/test_wall_clock_steps.cpp
@@ -1,13 +1,13 @@
-/// Processes whose wall clock is stepped while they serve.
+/// Tests of processes whose wall clock is stepped while they serve.
 #include <chrono>
 
 #include "proxy/faulty_process_fixture.h"
 
-// Guards against descriptors that stay open because the wall clock went back.
+// Guards against descriptors that stay open because the wall clock was set back.
 TEST(WallClockSteps, LingeringConnectionsCloseInTimeAfterAStepBack) {
     ProcessFixture fixture;
     const WallClock clock(fixture.folder + "/clock");
-    fixture.executable = built("headrouter");
+    fixture.executable = build_path("headrouter");
     fixture.environment = clock.environment();
     const ProcessFixture::Program running = fixture.start();
     const size_t before = open_descriptors(running.pid);
@@ -24,11 +24,11 @@
     for (const Peer& client : clients) EXPECT_TRUE(is_closed_by_peer(fixture, client));
 }
 
-// Guards against cutting connections before their peers have had the time to read.
-TEST(WallClockSteps, LingeringConnectionsKeepTheirTimeAfterAStepForward) {
+// Guards against closing connections before their peers have had time to read.
+TEST(WallClockSteps, LingeringConnectionsStayOpenAfterAStepForward) {
     ProcessFixture fixture;
     const WallClock clock(fixture.folder + "/clock");
-    fixture.executable = built("headrouter");
+    fixture.executable = build_path("headrouter");
     fixture.environment = clock.environment();
     const ProcessFixture::Program running = fixture.start();
     Peer client = connect_peer(fixture.listen_address);
@@ -44,15 +44,15 @@
 
 namespace {
 
-/// Answers the next poll of discovery with a snapshot whose server started at `started_at_ms`. `polls` keeps
-/// the connections open.
+/// Answers the next poll at the discovery listener with a snapshot whose server started at `started_at_ms`.
+/// `polls` keeps the connections open.
 void send_snapshot(ProcessFixture& fixture, std::vector<Peer>& polls, int64_t started_at_ms) {
     fcntl(fixture.discovery_listener.fd.get(), F_SETFL, O_NONBLOCK);
     const std::string body = R"({"generation":2,"reset":true,"instances":[{"instanceId":"s","hostPort":")" +
                              fixture.server_listener.address +
                              R"(","zone":"a","lifecycle":"SERVING","startedAtMs":)" +
                              std::to_string(started_at_ms) + "}]}";
-    // Earlier polls have timed out by now; the newest connection is the one that waits.
+    // Earlier polls have timed out by now; only the newest connection still waits for an answer.
     EXPECT_TRUE(fixture.run_until([&] {
         while (std::optional<Peer> poll = fixture.discovery_listener.try_accept())
             polls.push_back(std::move(*poll));
@@ -74,11 +74,11 @@
 }  // namespace
 
 // Guards against endpoints that look restarted because the next process reads a stepped clock.
-TEST(WallClockSteps, AServerDoesNotLookRestartedAfterAHotRestartWithASteppedClock) {
+TEST(WallClockSteps, ServerDoesNotLookRestartedAfterAHotRestartWithASteppedClock) {
     for (const Duration step : {seconds(-3600), seconds(3600)}) {
         ProcessFixture fixture;
         const WallClock clock(fixture.folder + "/clock");
-        fixture.executable = built("headrouter");
+        fixture.executable = build_path("headrouter");
         fixture.environment = clock.environment();
         const int64_t started_at_ms = unix_ms() - 500;
         std::vector<Peer> polls;
