--- a/src/admin/admin_commands.h
+++ b/src/admin/admin_commands.h
@@ -1,4 +1,4 @@
-/// The commands that operators send to the admin address, by name. No I/O.
+/// Maps the names of the commands that operators send to the admin address to their handlers. No I/O.
 #pragma once
 #include <functional>
 #include <map>
@@ -7,24 +7,24 @@
 
 namespace headrouter::admin {
 
-/// What an operator is sent back: one or more lines, each with its CRLF.
+/// Holds the response to an operator: one or more lines, each with its CRLF.
 struct AdminResponse {
     std::string text;
 
-    /// Whether the first line says `error` and why.
+    /// Returns whether the first line begins with `error`.
     bool is_error() const;
 };
 
-/// The registry of commands. Handlers run on the thread that calls execute().
+/// Registers commands and runs them. Handlers run on the thread that calls execute().
 class AdminCommands {
    public:
     using Handler = std::function<std::string()>;
 
-    /// A second handler under the same name takes the place of the first.
+    /// Registers `handler`; it replaces an earlier handler of the same name.
     void add(const std::string& name, Handler handler);
 
-    /// Runs the command that `line` names. `is_complete`: the line came to its end; an incomplete or unknown
-    /// one is answered with an error, which repeats nothing of what was sent.
+    /// Runs the command that `line` names. `is_complete`: whether the line end was received. The response
+    /// to an incomplete line or an unknown command is an error, which repeats none of the received bytes.
     AdminResponse execute(std::string_view line, bool is_complete) const;
 
    private:
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -10,11 +10,13 @@
 
 namespace {
 
-// A command is a short line, written at once; operators are owed a response within a second or two.
+// A command is a short line that operators' tools send at once; operators expect a response within a
+// second or two.
 constexpr Duration command_timeout = seconds(1.5);
-// Accepted in one turn of the loop, so that a crowd here does not hold up the balancer's clients.
+// Connections accepted per event-loop iteration; the limit keeps a burst of admin connections from
+// delaying the balancer's clients.
 constexpr int accepts_per_turn = 8;
-// Before it is tried again to accept where the machine lacks something for it.
+// Pause before accept is retried after the machine lacked a resource for it.
 constexpr Duration pause_after_failure = millis(20);
 constexpr size_t max_waiting = AdminServer::max_connections / 2;
 
@@ -25,7 +27,7 @@
       commands_(commands),
       counters_(counters),
       closer_(loop),
-      // before all connections of clients and servers
+      // handles events before all connections of clients and servers
       accept_watcher_(
           loop, [this](int /*ready_events*/) { accept_pending(); }, EV_MAXPRI),
       accept_retry_(loop, [this] { accept_watcher_.start(listener_.get(), EV_READ); }) {
@@ -44,7 +46,7 @@
             const AcceptError error = classify_accept_error(errno);
             if (error == AcceptError::queue_empty) return;
             if (error == AcceptError::one_connection) continue;
-            // The loop would report the socket again at once.
+            // Without this the loop would report the listening socket as readable again at once.
             accept_watcher_.stop();
             return accept_retry_.start_once(pause_after_failure);
         }
@@ -54,7 +56,7 @@
     }
 }
 
-// The client stands in the list before its connection starts, as that may report bytes at once.
+// Adds the client to the list before its connection starts, because start() may report bytes at once.
 void AdminServer::add_client(Fd fd) {
     constexpr uint64_t unused_id = 0;
     clients_.push_back({nullptr, Clock::now()});
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,5 +1,5 @@
-/// The admin address: one connection for each command, one line in, the response out, then the end. Its
-/// connections are its own and bounded, so that neither a crowd of clients nor idle operators block it.
+/// Serves the admin address: on each connection it reads one command line, sends the response and closes. Its
+/// connections have a limit of their own, so that neither many clients nor idle operators block it.
 #pragma once
 #include <list>
 #include <memory>
@@ -12,18 +12,21 @@
 
 namespace headrouter::admin {
 
-/// Runs on the thread of the event loop, which it must not outlive; commands and counters outlive it.
+/// Accepts admin connections and runs their commands. Runs on the thread of the event loop; the loop, the
+/// commands and the counters must outlive it.
 class AdminServer : private LineConnection::Owner {
    public:
-    /// Connections at most: half of them wait for a command, half still read their responses.
+    /// Maximum number of connections: half of them may wait for a command, half may still read their
+    /// response.
     static constexpr size_t max_connections = 16;
 
     AdminServer(struct ev_loop* loop, const AdminCommands& commands, Counters& counters);
 
-    /// Throws std::system_error where the address cannot be listened on.
+    /// Starts to accept connections. Throws std::system_error if listening on the address fails.
     void listen(const Address& address);
 
-    /// Answers with an error whoever has not sent a whole line in time; called several times a second.
+    /// Sends an error to each client that has not sent a whole line in time, and closes its connection.
+    /// Must be called several times a second.
     void time_out_idle(TimePoint now);
 
    private:
@@ -48,7 +51,7 @@
     Fd listener_;
     IoWatcher accept_watcher_;
     TimerWatcher accept_retry_;
-    std::list<Client> clients_;  // the oldest first
+    std::list<Client> clients_;  // oldest first
 };
 
 }  // namespace headrouter::admin
--- a/src/admin/counters.cpp
+++ b/src/admin/counters.cpp
@@ -70,7 +70,8 @@
     {Counter::broken_invariants, "broken_invariants"},
 }};
 
-/// Whether each row is that of the enumerator of its own index: no row is missing, doubled or out of place.
+/// Returns whether each row belongs to the enumerator with its index, so that none is missing, duplicate
+/// or out of order.
 constexpr bool rows_follow_enumerators() {
     for (size_t index = 0; index < counter_names.size(); ++index)
         if (counter_names[index].counter != static_cast<Counter>(index) || counter_names[index].name.empty())
--- a/src/admin/counters.h
+++ b/src/admin/counters.h
@@ -1,4 +1,4 @@
-/// Counts of what the balancer takes in, sends and answers, from the start of the process.
+/// Event counters of the balancer, from the start of the process.
 #pragma once
 #include <array>
 #include <cassert>
@@ -11,8 +11,8 @@
 
 namespace headrouter {
 
-/// Printed in this order. The names that operators read are in counters.cpp and stay as they are, whatever
-/// the enumerators are called.
+/// Identifies a counter. Counters are printed in this order. The names that operators read are in
+/// counters.cpp and must not change, even if an enumerator is renamed.
 enum class Counter {
     connections_accepted,
     requests_accepted,
@@ -69,27 +69,28 @@
     capture_events,
     capture_dropped,
     capture_faults,
-    broken_invariants  // the last one: counter_count follows from it
+    broken_invariants  // last one: counter_count is derived from it
 };
 
 constexpr size_t counter_count = static_cast<size_t>(Counter::broken_invariants) + 1;
 
-/// The name under which operators read a counter.
+/// Returns the name under which operators read a counter.
 std::string_view printed_name(Counter counter);
 
-/// One value for each Counter. Not synchronized: it belongs to the thread of the event loop.
+/// Holds one value for each Counter. Not thread-safe: belongs to the thread of the event loop.
 class Counters {
    public:
     void add(Counter counter, uint64_t count = 1) { values_[static_cast<size_t>(counter)] += count; }
     uint64_t operator[](Counter counter) const { return values_[static_cast<size_t>(counter)]; }
 
-    /// Writes `name=value name=value ...` on one line, without the line end and without counters at zero.
+    /// Writes `name=value name=value ...` on one line, without a line end, and omits counters that are zero.
     void print(std::ostream& out) const;
 
-    /// The same as fields of a log line.
+    /// Returns the counters that are not zero as fields of a log line.
     std::vector<LogField> log_fields() const;
 
-    /// An invariant of the program: a violation ends a debug build and is counted in a release build.
+    /// Checks an invariant of the program: a violation aborts a debug build and is counted in a release
+    /// build.
     void must_hold(bool holds) {
         assert(holds);
         if (!holds) add(Counter::broken_invariants);
--- a/src/admin/log.cpp
+++ b/src/admin/log.cpp
@@ -23,7 +23,7 @@
 
 std::string_view name_of(LogLevel level) { return level_names[static_cast<size_t>(level)]; }
 
-/// The enumerator whose name stands in `names` at its own value.
+/// Returns the enumerator whose value is the index of `word` in `names`; nullopt if `word` is not in `names`.
 template <class Enum, size_t size>
 std::optional<Enum> enumerator_from(const std::array<std::string_view, size>& names, std::string_view word) {
     const auto found = std::find(names.begin(), names.end(), word);
@@ -99,8 +99,8 @@
     return text;
 }
 
-/// Text may hold bytes that a client sent: what is not ASCII may be no UTF-8, and would make the record
-/// unreadable as a whole.
+/// Replaces bytes that are not ASCII by `?`: text may contain bytes that a client sent, and invalid UTF-8
+/// would make the whole record unreadable.
 void write_string(JsonWriter& json, std::string_view text) {
     std::string clean(text);
     std::replace_if(
@@ -121,7 +121,7 @@
             } else if constexpr (std::is_same_v<Held, bool>) {
                 json.Bool(held);
             } else if constexpr (std::is_same_v<Held, double>) {
-                // JSON has no infinity
+                // JSON has no infinity and no NaN
                 if (std::isfinite(held))
                     json.Double(held);
                 else
@@ -200,7 +200,8 @@
              << text << '\n';
     }
     out_.flush();
-    out_.clear();  // a reader that went away must not silence the log for good, nor stop the balancer
+    // A write error, as after the reader exited, must neither disable the log for good nor stop the balancer.
+    out_.clear();
 }
 
 }  // namespace headrouter
--- a/src/admin/log.h
+++ b/src/admin/log.h
@@ -1,4 +1,4 @@
-/// Log lines: one event per line, `event key=value ...`, filtered by level.
+/// Writes log lines: one event per line, `event key=value ...`, filtered by level.
 ///
 ///     log.info("endpoint_list_received", {{"version", version}, {"endpoints", count}});
 ///
@@ -21,17 +21,19 @@
 
 namespace headrouter {
 
-/// From the most to the least important; a log writes its own level and those before it.
+/// Levels from the most to the least important; a log writes lines of its own level and the levels before it.
 enum class LogLevel { error, warning, info, debug };
 
 enum class LogFormat { text, json };
 
-/// The level or format that an operator names in the configuration or on the command line, if there is one.
+/// Returns the level or format with the given name, as in the configuration or on the command line;
+/// nullopt if there is none.
 std::optional<LogLevel> log_level_from(std::string_view word);
 std::optional<LogFormat> log_format_from(std::string_view word);
 
-/// One `key=value` of a line. Strings are referred to and not copied: a field lives as long as the call that
-/// it is an argument of. `at`, `level`, `name`, `text` and `event` are keys of the JSON record itself.
+/// Holds one `key=value` of a line. Strings are referenced, not copied, so a field is valid only during
+/// the call that it is an argument of. The keys `at`, `level`, `name`, `text` and `event` are reserved for
+/// the JSON record itself.
 class LogField {
    public:
     using Value = std::variant<bool, int64_t, uint64_t, double, std::string_view>;
@@ -57,15 +59,16 @@
 using LogFields = std::span<const LogField>;
 using LogFieldList = std::initializer_list<LogField>;
 
-/// Writes log lines to a stream. Not synchronized: one log belongs to one thread.
+/// Writes log lines to a stream. Not thread-safe: each log belongs to one thread.
 class Log {
    public:
-    /// `out` outlives the log. Lines above `max_level` are dropped; `name` is the balancer's, in every line.
+    /// `out` must outlive the log. Lines above `max_level` are dropped. `name` is the balancer's name,
+    /// written in every line.
     Log(std::ostream& out, LogLevel max_level, std::string name = "", LogFormat format = LogFormat::text)
         : out_(out), max_level_(max_level), name_(std::move(name)), format_(format) {}
 
-    /// Each writes one line and flushes it; what is filtered out is not formatted. A text value is quoted
-    /// where it is empty or holds a space, a quote, `=` or a control character.
+    /// Each function writes one line and flushes it. A line that the level filters out is not formatted. A
+    /// text value is quoted if it is empty or contains a space, a quote, `=` or a control character.
     void error(std::string_view event, LogFieldList fields = {}) { write(LogLevel::error, event, fields); }
     void warning(std::string_view event, LogFieldList fields = {}) {
         write(LogLevel::warning, event, fields);
@@ -73,16 +76,17 @@
     void info(std::string_view event, LogFieldList fields = {}) { write(LogLevel::info, event, fields); }
     void debug(std::string_view event, LogFieldList fields = {}) { write(LogLevel::debug, event, fields); }
 
-    /// The same for a level or fields that are known at run time only.
+    /// Writes a line whose level or fields are known only at run time.
     void write(LogLevel level, std::string_view event, LogFields fields);
 
-    /// Whether lines of `level` are written: for callers whose values cost something to compute.
+    /// Returns whether lines of `level` are written, for callers whose values are expensive to compute.
     bool writes(LogLevel level) const { return level <= max_level_; }
 
-    /// Takes effect from the next line on.
+    /// Sets the level and the format, starting with the next line.
     void configure(LogLevel max_level, LogFormat format);
 
-    /// A line of free text, written when it goes out of scope. For lines not yet in the form above.
+    /// Collects a line of free text and writes it when the object is destroyed. For lines that are not yet
+    /// in the form `event key=value ...`.
     class Line {
        public:
         Line(Log* log, LogLevel level) : log_(log), level_(level) {}
--- a/tests/admin/test_counters.cpp
+++ b/tests/admin/test_counters.cpp
@@ -7,14 +7,14 @@
 namespace headrouter {
 namespace {
 
-TEST(Counters, OperatorsReadTheNamesTheyKnow) {
+TEST(Counters, PrintedNamesStayAsOperatorsKnowThem) {
     EXPECT_EQ(printed_name(Counter::connections_accepted), "conns_taken_in");
     EXPECT_EQ(printed_name(Counter::attempts_at_capacity), "legs_full");
     EXPECT_EQ(printed_name(Counter::endpoint_updates), "lists_told");
     EXPECT_EQ(printed_name(Counter::broken_invariants), "broken_invariants");
 }
 
-TEST(Counters, OnlyThoseAboveZeroArePrinted) {
+TEST(Counters, PrintsOnlyCountersAboveZero) {
     Counters counters;
     counters.add(Counter::reloads);
     counters.add(Counter::requests_accepted, 3);
@@ -23,7 +23,7 @@
     EXPECT_EQ(out.str(), "calls_taken_in=3 reloads=1");
 }
 
-TEST(Counters, TheyAreTheFieldsOfALogLine) {
+TEST(Counters, WritesCountersAsFieldsOfALogLine) {
     Counters counters;
     counters.add(Counter::gossip_sent, 2);
     std::ostringstream out;
--- a/tests/admin/test_log.cpp
+++ b/tests/admin/test_log.cpp
@@ -9,10 +9,10 @@
 namespace headrouter {
 namespace {
 
-// What follows the time, which is the first word.
+// Returns the line without its first word, which is the time.
 std::string without_time(const std::string& line) { return line.substr(line.find(' ') + 1); }
 
-TEST(Log, ALineIsAnEventWithItsFields) {
+TEST(Log, WritesEventWithItsFields) {
     std::ostringstream out;
     Log log(out, LogLevel::info, "n1");
     const std::string server = "srv-1";
@@ -21,14 +21,14 @@
     EXPECT_EQ(without_time(out.str()), "info n1 endpoint_list_received version=-7 endpoints=3 from=srv-1\n");
 }
 
-TEST(Log, ValuesOfEachTypeArePrinted) {
+TEST(Log, WritesValuesOfEachType) {
     std::ostringstream out;
     Log log(out, LogLevel::info);
     log.warning("values", {{"flag", true}, {"off", false}, {"ratio", 0.25}, {"none", ""}, {"word", "a"}});
     EXPECT_EQ(without_time(out.str()), "warning values flag=true off=false ratio=0.25 none=\"\" word=a\n");
 }
 
-TEST(Log, ValuesWithSpacesAreQuotedAndStayOnOneLine) {
+TEST(Log, QuotesValuesWithSpacesAndEscapesLineEnds) {
     std::ostringstream out;
     Log log(out, LogLevel::info);
     log.error("failed", {{"reason", "no such file"}, {"line", "say \"a\\b\"\r\n\t\x01"}, {"pair", "a=b"}});
@@ -37,7 +37,7 @@
         "error failed reason=\"no such file\" line=\"say \\\"a\\\\b\\\"\\r\\n\\t\\x01\" pair=\"a=b\"\n");
 }
 
-TEST(Log, WhatIsFilteredOutIsNotWritten) {
+TEST(Log, OmitsLinesBelowTheConfiguredImportance) {
     std::ostringstream out;
     Log log(out, LogLevel::warning);
     log.info("hidden");
@@ -48,7 +48,7 @@
     EXPECT_EQ(without_time(out.str()), "debug shown\n");
 }
 
-TEST(Log, AJsonRecordHoldsTheFieldsBesideTheText) {
+TEST(Log, JsonRecordHoldsTheFieldsAndTheText) {
     std::ostringstream out;
     Log log(out, LogLevel::info, "n1", LogFormat::json);
     log.info("connected",
@@ -67,7 +67,7 @@
     EXPECT_TRUE(record["first"].GetBool());
 }
 
-TEST(Log, LevelsAndFormatsAreReadByName) {
+TEST(Log, ParsesLevelsAndFormatsByName) {
     EXPECT_EQ(log_level_from("error"), LogLevel::error);
     EXPECT_EQ(log_level_from("debug"), LogLevel::debug);
     EXPECT_EQ(log_level_from("Debug"), std::nullopt);
--- a/tests/admin/test_metrics.cpp
+++ b/tests/admin/test_metrics.cpp
@@ -4,7 +4,7 @@
 #include "admin/metrics.h"
 #include "policy_helpers.h"
 
-TEST(Metrics, EveryClassIsPrintedFromTheFirstAndNamesAreEscaped) {
+TEST(Metrics, PrintsEveryConfiguredClassAndEscapesNames) {
     const std::vector<std::string> class_names{"chat", "", "p\"y\n"};
     admin::SetupCounters setups(1);
     setups.grow_to(class_names.size());
@@ -15,13 +15,13 @@
     setups.add(admin::SetupOutcome::declined, 0);
     setups.add_forward();
     setups.add(admin::SetupOutcome::aborted, 0);
-    setups.grow_to(1);  // classes that are no longer configured keep their rows
+    setups.grow_to(1);  // classes that are no longer configured keep their counts
     EXPECT_EQ(admin::to_json({class_names, setups, 3, 2, 1}),
               R"({"succeeded":{"chat":0,"p\"y\n":1},"declined":{"chat":1,"p\"y\n":0},)"
               R"("aborted":{"chat":1,"p\"y\n":0},"forwards":1,"outstanding":3,"discovered":2,"ejected":1})");
 }
 
-TEST(Metrics, AnUnknownCommandIsAnErrorInOneLine) {
+TEST(Metrics, UnknownOrIncompleteCommandReturnsAnError) {
     admin::AdminCommands commands;
     commands.add("STATUS", [] { return "done\r\n"; });
     commands.add("METRICS", [] { return "{}\r\nend\r\n"; });
