--- a/src/discovery/endpoint_staleness.cpp
+++ b/src/discovery/endpoint_staleness.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// After this time a list counts as known to every balancer: the operators' acceptance terms.
+// Time after which a list counts as known to every balancer, by the operators' acceptance terms.
 constexpr Duration propagation_allowance = seconds(6);
-// An attempt that has just passed the check still has to be written.
+// Leaves time to write an attempt that has just passed the staleness check.
 constexpr Duration write_margin = millis(100);
 
 }  // namespace
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -1,22 +1,23 @@
-/// Whether the endpoint list of a shared discovery service may still be relied on. The service's state counts
-/// as known to every balancer a few seconds after it could have been fetched, whether or not this balancer
-/// got its turn; an endpoint may then be draining that is still active here. While the service cannot be
-/// reached at all, nothing counts as known. No I/O.
+/// Decides whether the endpoint list of a shared discovery service is too old to rely on. A change of the
+/// service's list counts as known to every balancer a few seconds after balancers could have fetched it,
+/// whether or not this balancer got an answer; by then an endpoint that is active in this balancer's list
+/// may be draining. While no balancer can reach the service, no change counts as known. No I/O.
 #pragma once
 #include "base/time.h"
 
 namespace headrouter {
 
+/// Tracks how long the endpoint list has been known to be current.
 class EndpointStaleness {
    public:
-    /// Until `fresh_until` the list is known to be what the service has.
+    /// `fresh_until`: end of the time for which the list is known to equal the service's list.
     explicit EndpointStaleness(TimePoint fresh_until) : fresh_until_(fresh_until) {}
 
-    /// The service has answered with its list, or has said that nothing changed.
+    /// Records that the service has answered with its list or reported that nothing has changed.
     void on_list_received(TimePoint now);
 
-    /// A request brought no list. `was_reached`: something came back all the same, so that other balancers
-    /// may have got their answers.
+    /// Records that a request returned no list. `was_reached`: some bytes were received all the same, so
+    /// other balancers may have received the list.
     void on_request_failed(TimePoint now, bool was_reached);
 
     bool is_stale(TimePoint now) const;
@@ -24,7 +25,7 @@
 
    private:
     TimePoint fresh_until_;
-    bool was_reached_ = false;  // by the last request, where that brought no list
+    bool was_reached_ = false;  // by the last request, if that returned no list
 };
 
 }  // namespace headrouter
--- a/src/discovery/endpoint_table.cpp
+++ b/src/discovery/endpoint_table.cpp
@@ -10,7 +10,7 @@
     for (const EndpointUpdate::Entry& updated : update.entries) {
         Entry& entry = entries_[updated.endpoint.server];
         entry.state = updated.endpoint.state;
-        // An entry that only says that an endpoint is removed may name no address; the known one stays.
+        // The entry of a removed endpoint may have no address; the known address is kept then.
         if (updated.address) entry.address = updated.address;
     }
 }
--- a/src/discovery/endpoint_table.h
+++ b/src/discovery/endpoint_table.h
@@ -1,4 +1,4 @@
-/// The endpoints that discovery has named so far, and where each of them is reached.
+/// The endpoints that discovery has reported so far, with their addresses and states.
 #pragma once
 #include <optional>
 #include <unordered_map>
@@ -8,7 +8,8 @@
 
 namespace headrouter {
 
-/// Not synchronized: it belongs to the thread of the event loop.
+/// Keeps the last known state and address of each endpoint, also of removed ones. Not thread-safe: belongs
+/// to the thread of the event loop.
 class EndpointTable {
    public:
     struct Entry {
@@ -20,15 +21,17 @@
     const State& state() const { return entries_; }
     void restore(State state) { entries_ = std::move(state); }
 
+    /// Applies a snapshot or a delta. An endpoint that a snapshot does not contain becomes removed.
     void apply(const EndpointUpdate& update);
 
-    /// Also of a removed endpoint, as its established requests may still be reached there.
+    /// Returns the last known address, also of a removed endpoint, because its established requests may
+    /// still use that address.
     std::optional<Address> address_of(const ServerId& id) const;
 
-    /// How many endpoints are active or draining.
+    /// Returns the number of endpoints that are active or draining.
     size_t present_count() const;
 
-    /// Whether new requests may be sent there, by the last update.
+    /// Returns whether new requests may be sent to the endpoint, according to the last update.
     bool is_active(const ServerId& id) const;
 
    private:
--- a/src/discovery/endpoint_update.cpp
+++ b/src/discovery/endpoint_update.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The index of the zone that `entry` names; one past the last for a zone that is not configured.
+/// Returns the index of the zone that `entry` names; one past the last index if that zone is not configured.
 int zone_index(const Json& entry, const ClusterConfig& config) {
     const auto zone =
         std::find(config.zone_names.begin(), config.zone_names.end(), text_or(entry, "zone", ""));
--- a/src/discovery/http_client.cpp
+++ b/src/discovery/http_client.cpp
@@ -19,12 +19,13 @@
 std::string_view describe(HttpError error) {
     switch (error) {
         case HttpError::cannot_connect: return "cannot connect";
-        case HttpError::send_failed: return "cannot be reached";
-        case HttpError::connection_reset: return "the connection broke";
-        case HttpError::connection_closed: return "the connection ended";
-        case HttpError::malformed_response: return "the response is not HTTP";
-        case HttpError::unexpected_bytes: return "a response to no request";
-        case HttpError::timed_out: return "no response in time";
+        case HttpError::send_failed: return "the request could not be sent";
+        case HttpError::connection_reset: return "the connection was reset";
+        case HttpError::connection_closed:
+            return "the connection was closed before the response was complete";
+        case HttpError::malformed_response: return "the response is not valid HTTP";
+        case HttpError::unexpected_bytes: return "received bytes while no request was in flight";
+        case HttpError::timed_out: return "the response timed out";
     }
     return "unknown";
 }
@@ -79,7 +80,7 @@
     if (received < 0 && is_transient_receive_error(errno)) return;
     const bool has_bytes = received > 0;
     if (!is_waiting_) {
-        // The end of an idle connection is no error: the next request makes a new one.
+        // An idle connection that the server closes is no error: the next request opens a new one.
         has_bytes ? fail(HttpError::unexpected_bytes) : close();
         return;
     }
--- a/src/discovery/http_client.h
+++ b/src/discovery/http_client.h
@@ -1,4 +1,4 @@
-/// GET requests to one address, one at a time, on one connection that is kept as long as the server keeps it.
+/// Sends HTTP GET requests to one address, one at a time, on one persistent connection.
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,40 +9,43 @@
 
 namespace headrouter {
 
+/// How a request or the idle connection failed.
 enum class HttpError {
     cannot_connect,
     send_failed,
     connection_reset,
-    connection_closed,  ///< before the response was whole
+    connection_closed,  ///< before the response was complete
     malformed_response,
-    unexpected_bytes,  ///< while no request was under way
+    unexpected_bytes,  ///< received while no request was in flight
     timed_out
 };
 
-/// In words, for the log.
+/// Returns a description of `error` for the log.
 std::string_view describe(HttpError error);
 
-/// Told how each request ends. From either call another request may be sent.
+/// Receives the result of each request. Both functions may send another request.
 class HttpClientEvents {
    public:
     virtual ~HttpClientEvents() = default;
     virtual void on_response(const HttpResponse& response) = 0;
 
-    /// The connection is closed by now. `was_reached`: bytes had come from the server.
+    /// Reports a failure; the connection is already closed. `was_reached`: bytes had been received from the
+    /// server since the last request was sent.
     virtual void on_http_error(HttpError error, bool was_reached) = 0;
 };
 
-/// Runs on the thread of the event loop, which it must not outlive.
+/// Sends requests and reports their responses. Keeps the connection open as long as the server does. Runs
+/// on the thread of the event loop, which must outlive it.
 class HttpClient {
    public:
     /// `host` is the value of the Host header.
     HttpClient(struct ev_loop* loop, const Address& address, std::string host, HttpClientEvents& events);
 
-    /// Sends a request for `target`, to be answered within `timeout`. An error may be told before this
-    /// returns.
+    /// Sends a request for `target`; the response has to be complete within `timeout`. An error may be
+    /// reported before get() returns.
     void get(const std::string& target, Duration timeout);
 
-    /// The next request makes a new connection.
+    /// Closes the connection; the next request opens a new one.
     void close();
 
    private:
@@ -61,7 +64,7 @@
     std::string unsent_;
     HttpResponseParser parser_;
     bool is_waiting_ = false;   // for a response
-    bool was_reached_ = false;  // bytes have come since the last request was sent
+    bool was_reached_ = false;  // bytes were received since the last request was sent
 };
 
 }  // namespace headrouter
--- a/src/discovery/http_response_parser.cpp
+++ b/src/discovery/http_response_parser.cpp
@@ -11,16 +11,18 @@
 namespace {
 
 constexpr size_t max_body_bytes = 16 << 20;
-// Longer header names and values are none that are looked for.
+// Longer header names and values are truncated: no header that is read has a longer one.
 constexpr size_t max_header_bytes = 32;
-constexpr int go_on = 0;
+// Results of the callbacks of http_parser.
+constexpr int continue_parsing = 0;
 constexpr int stop_with_error = 1;
 
 void append_up_to_limit(std::string& out, std::string_view piece) {
     if (out.size() < max_header_bytes) out.append(piece.substr(0, std::min(piece.size(), max_header_bytes)));
 }
 
-/// Whole seconds only: a date counts on clocks that agree.
+/// Returns the delay of a Retry-After value in whole seconds, zero for any other value. A date is not used,
+/// because it is only right if both clocks agree.
 Duration parse_retry_after(const std::string& value) {
     unsigned whole_seconds = 0;
     const char* const last = value.data() + value.size();
@@ -64,29 +66,30 @@
     return callbacks;
 }
 
-// A name comes in pieces, then its value does; a piece of a name after one of a value begins another header.
+// http_parser passes a header's name in pieces, then its value in pieces. A piece of a name that follows a
+// piece of a value begins the next header.
 int HttpResponseParser::on_header_name(std::string_view piece) {
     if (is_in_header_value_) header_name_.clear();
     is_in_header_value_ = false;
     append_up_to_limit(header_name_, piece);
-    return go_on;
+    return continue_parsing;
 }
 
 int HttpResponseParser::on_header_value(std::string_view piece) {
     is_in_header_value_ = true;
     if (strcasecmp(header_name_.c_str(), "retry-after") == 0) append_up_to_limit(retry_after_, piece);
-    return go_on;
+    return continue_parsing;
 }
 
 int HttpResponseParser::on_body(std::string_view piece) {
     body_.append(piece);
-    return body_.size() > max_body_bytes ? stop_with_error : go_on;
+    return body_.size() > max_body_bytes ? stop_with_error : continue_parsing;
 }
 
 int HttpResponseParser::on_complete() {
     is_complete_ = true;
-    http_parser_pause(&parser_, 1);  // what follows belongs to no request
-    return go_on;
+    http_parser_pause(&parser_, 1);  // no request was sent for any following bytes
+    return continue_parsing;
 }
 
 HttpResponseParser::Progress HttpResponseParser::feed(std::string_view bytes) {
--- a/src/discovery/http_response_parser.h
+++ b/src/discovery/http_response_parser.h
@@ -1,4 +1,4 @@
-/// One HTTP/1.1 response, put together from the bytes as they come. No I/O.
+/// Parses HTTP/1.1 responses incrementally, as their bytes arrive. No I/O.
 #pragma once
 #include <http_parser.h>
 
@@ -9,30 +9,32 @@
 
 namespace headrouter {
 
+/// Holds the parts of a response that discovery needs.
 struct HttpResponse {
     unsigned status = 0;
     std::string body;
-    Duration retry_after;      ///< of the Retry-After header in seconds; zero where it is missing or a date
-    bool keeps_alive = false;  ///< whether the connection may take another request
+    Duration retry_after;      ///< from the Retry-After header in seconds; zero if missing or a date
+    bool keeps_alive = false;  ///< whether the connection can be used for another request
 };
 
+/// Parses one response at a time.
 class HttpResponseParser {
    public:
     enum class Progress { incomplete, complete, malformed };
 
     HttpResponseParser();
     ~HttpResponseParser() = default;
-    HttpResponseParser(const HttpResponseParser&) = delete;  // the parser inside points to this one
+    HttpResponseParser(const HttpResponseParser&) = delete;  // parser_ holds a pointer to this object
     HttpResponseParser& operator=(const HttpResponseParser&) = delete;
 
-    /// Forgets what has come so far: the next bytes begin a response.
+    /// Discards all bytes so far: the next bytes begin a new response.
     void reset();
 
-    /// Takes the next bytes; none at all are the end of the connection, which ends some responses. What
-    /// follows a complete response is ignored.
+    /// Parses the next bytes. An empty `bytes` is the end of the connection, which completes a response
+    /// without a Content-Length. Bytes after a complete response are ignored.
     [[nodiscard]] Progress feed(std::string_view bytes);
 
-    /// The response, once it is complete.
+    /// Returns the response; to be called after feed() has returned complete.
     [[nodiscard]] HttpResponse take_response();
 
    private:
@@ -45,7 +47,7 @@
 
     http_parser parser_{};
     std::string body_;
-    std::string header_name_;  // of the header that is being read
+    std::string header_name_;  // of the header that is being parsed
     std::string retry_after_;
     bool is_in_header_value_ = false;
     bool is_complete_ = false;
--- a/src/discovery/watch_client.cpp
+++ b/src/discovery/watch_client.cpp
@@ -8,7 +8,7 @@
 
 constexpr unsigned status_ok = 200;
 constexpr int64_t ns_per_ms = 1'000'000;
-// An agent that answers watches at once with nothing new must not keep the balancer busy.
+// An agent that answers watches at once with an empty delta must not keep the balancer busy.
 constexpr Duration pause_after_empty_update = millis(20);
 
 }  // namespace
@@ -28,8 +28,8 @@
 
 void WatchClient::start() { request_update(); }
 
-// One request brings what is missing and is the first watch too: a shared service turns away the second
-// request of a hundred balancers that start together.
+// The first request is both a fetch of the missing changes and the first watch: if a hundred balancers start
+// together, a shared service rejects a second request of each.
 void WatchClient::start_from(int64_t version) {
     version_ = version;
     has_list_ = true;
@@ -72,8 +72,8 @@
 
 void WatchClient::on_response(const HttpResponse& response) {
     if (response.status != status_ok) {
-        fail("the status is not 200", true,
-             backoff_.next_pause(PollFailure::turned_away, response.retry_after));
+        fail("the response status is not 200", true,
+             backoff_.next_pause(PollFailure::rejected, response.retry_after));
         return;
     }
     EndpointUpdate update;
@@ -82,8 +82,8 @@
     } catch (const ParseError& error) {
         counters_.add(Counter::endpoint_updates_malformed);
         log_.warning("endpoint_list_malformed", {{"reason", error.what()}});
-        // What it should have brought comes with the whole list.
-        refetch_after("the endpoint list cannot be read");
+        // The snapshot also contains the changes that this response failed to deliver.
+        refetch_after("the endpoint list is malformed");
         return;
     }
     on_update(update);
@@ -95,12 +95,13 @@
         log_.warning("endpoints_unreadable", {{"endpoints", update.unreadable_entries}});
     }
     if (!update.is_snapshot && !has_list_) {
-        fail_unreachable("changes in place of the whole list", true);
+        fail_unreachable("received a delta in place of a snapshot", true);
         return;
     }
     if (!update.is_snapshot && update.version < version_) {
-        // The service counts from somewhere else: what it leaves out may be what this balancer lacks.
-        refetch_after("the version went back");
+        // The service's version count has restarted: its delta may lack changes that this balancer has not
+        // received.
+        refetch_after("the version of the endpoint list decreased");
         return;
     }
     if (is_failing_) log_.info("discovery_recovered");
--- a/src/discovery/watch_client.h
+++ b/src/discovery/watch_client.h
@@ -1,5 +1,5 @@
-/// Follows the endpoint list of one discovery address over HTTP/1.1: the whole list first, then one watch
-/// after the other for what changes.
+/// Keeps the endpoint list of one discovery address up to date over HTTP/1.1: fetches a snapshot first,
+/// then sends one watch after the other for the changes.
 #pragma once
 #include <functional>
 #include <string>
@@ -15,11 +15,12 @@
 
 namespace headrouter {
 
-/// Runs on the thread of the event loop. All that it is given by reference outlives it.
+/// Requests the endpoint list and passes its updates on. Runs on the thread of the event loop. All
+/// constructor arguments passed by reference must outlive it.
 class WatchClient : private HttpClientEvents {
    public:
-    /// Called with each update that is a snapshot or names an endpoint. The callee may destroy other clients,
-    /// but not this one.
+    /// Called with each snapshot, and with each delta that is not empty. The callee may destroy other watch
+    /// clients, but not `source`.
     using UpdateHandler = std::function<void(const WatchClient& source, const EndpointUpdate& update)>;
 
     /// `host` is the value of the Host header; `config` has the names of the zones.
@@ -27,19 +28,20 @@
                 const Clock& clock, PollBackoff backoff, Counters& counters, Log& log,
                 UpdateHandler on_update);
 
-    /// Begins with the whole list.
+    /// Starts with a request for the whole list.
     void start();
 
-    /// Begins with what has changed since the list that this process was started with.
+    /// Starts with a request for the changes since `version`, the version of the list that this process
+    /// took over at a hot restart.
     void start_from(int64_t version);
 
-    /// Of the list as it is known here; -1 where the whole list has to be fetched.
+    /// Returns the version of the list as this client knows it; -1 if the whole list has to be fetched.
     int64_t version() const { return has_list_ ? version_ : unknown_version; }
 
     bool is_stale(TimePoint now) const { return staleness_.is_stale(now); }
     TimePoint fresh_until() const { return staleness_.fresh_until(); }
 
-    /// As the process knew that this one takes over from.
+    /// Sets the time that the previous process of a hot restart had recorded.
     void set_fresh_until(TimePoint fresh_until) { staleness_ = EndpointStaleness(fresh_until); }
 
    private:
@@ -63,7 +65,7 @@
     TimerWatcher pause_timer_;
     EndpointStaleness staleness_;
     bool has_list_ = false;
-    bool is_failing_ = false;  // the last request failed, and that is in the log
+    bool is_failing_ = false;  // the last request failed, and that has been logged
     int64_t version_ = 0;
 };
 
--- a/tests/discovery/test_endpoint_table.cpp
+++ b/tests/discovery/test_endpoint_table.cpp
@@ -13,7 +13,7 @@
     return made;
 }
 
-TEST(EndpointTable, ASnapshotRemovesWhatItDoesNotName) {
+TEST(EndpointTable, SnapshotRemovesEndpointsThatItDoesNotContain) {
     EndpointTable table;
     table.apply({1, true, {entry("s1", EndpointState::active, "127.0.0.1:1")}});
     EXPECT_TRUE(table.is_active("s1"));
@@ -24,7 +24,7 @@
     EXPECT_TRUE(table.address_of("s1").has_value());
 }
 
-TEST(EndpointTable, ADeltaKeepsTheOthersAndAKnownAddress) {
+TEST(EndpointTable, DeltaKeepsOtherEndpointsAndKnownAddresses) {
     EndpointTable table;
     table.apply({1, true, {entry("s1", EndpointState::active, "127.0.0.1:1")}});
     table.apply(
--- a/tests/discovery/test_endpoint_update.cpp
+++ b/tests/discovery/test_endpoint_update.cpp
@@ -1,4 +1,4 @@
-/// What discovery answers to a poll, read.
+/// Tests the parsing of discovery's responses.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -14,7 +14,7 @@
 "realms":[{"name":"x"}],"failureDomains":["a","b"],
 "trafficTypes":[{"name":"chat","effect":"pure","setupTargetNs":800000000,"guardTimeNs":3200000000}]})";
 
-TEST(EndpointUpdate, IsParsedWithZonesStateAndStart) {
+TEST(EndpointUpdate, IsParsedWithZoneStateAndStartTime) {
     const ClusterConfig config = parse_cluster_config(settings);
     const Clock clock;
     const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -40,7 +40,7 @@
     EXPECT_GT(error, millis(-200));
 }
 
-TEST(EndpointUpdate, AMalformedAnswerThrows) {
+TEST(EndpointUpdate, ThrowsOnMalformedResponse) {
     const ClusterConfig config = parse_cluster_config(settings);
     const Clock clock;
     for (const char* malformed :
--- a/tests/discovery/test_http_response_parser.cpp
+++ b/tests/discovery/test_http_response_parser.cpp
@@ -7,7 +7,7 @@
 
 using Progress = HttpResponseParser::Progress;
 
-TEST(HttpResponseParser, AResponseMayComeByteByByte) {
+TEST(HttpResponseParser, ParsesAResponseThatArrivesByteByByte) {
     const std::string bytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
     HttpResponseParser parser;
     for (size_t at = 0; at + 1 < bytes.size(); ++at)
@@ -20,7 +20,7 @@
     EXPECT_TRUE(response.keeps_alive);
 }
 
-TEST(HttpResponseParser, RetryAfterIsReadInSecondsOnly) {
+TEST(HttpResponseParser, ReadsRetryAfterInWholeSecondsOnly) {
     const auto retry_after_of = [](const std::string& header) {
         HttpResponseParser parser;
         EXPECT_EQ(
@@ -35,14 +35,14 @@
     EXPECT_EQ(retry_after_of("Retry-Before: 7"), Duration{});
 }
 
-TEST(HttpResponseParser, WhatIsNoHttpIsMalformed) {
+TEST(HttpResponseParser, RejectsBytesThatAreNotHttp) {
     HttpResponseParser parser;
     EXPECT_EQ(parser.feed("220 smtp ready\r\n"), Progress::malformed);
     parser.reset();
     EXPECT_EQ(parser.feed("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), Progress::complete);
 }
 
-TEST(HttpResponseParser, TheEndOfTheConnectionEndsAResponseWithoutALength) {
+TEST(HttpResponseParser, ConnectionEndCompletesAResponseWithoutALength) {
     HttpResponseParser parser;
     EXPECT_EQ(parser.feed("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf"), Progress::incomplete);
     EXPECT_EQ(parser.feed({}), Progress::complete);
