--- a/src/hot_restart/balancer_state.cpp
+++ b/src/hot_restart/balancer_state.cpp
@@ -137,7 +137,8 @@
 
 using capture::visit;
 
-// A table in the form of version 1: all keys, in ascending order, and then the values in the same order.
+// Visits a table in the layout of state version 1: all keys in ascending order, then the values in the same
+// order.
 template <class Archive, class Table>
 void visit_keys_then_values(Archive& archive, Table& table) {
     std::vector<typename Table::key_type> keys = capture::sorted_keys(table);
@@ -181,26 +182,27 @@
     visit(archive, balancer.list_good_until);
 }
 
-std::string named(const char* what, RequestId id) { return what + (" " + std::to_string(id)); }
+std::string with_id(const char* what, RequestId id) { return what + (" " + std::to_string(id)); }
 
 void check(RequestId id, const RequestLine& request_line) {
     const size_t length = request_line.line.size();
     const bool is_inside =
         request_line.wait_offset <= length && request_line.wait_length <= length - request_line.wait_offset;
     if (!is_inside)
-        throw ParseError(named("the request line of request", id), "has a wait behind its end",
+        throw ParseError(with_id("the request line of request", id), "has a wait field past its end",
                          "one within its " + std::to_string(length) + " bytes");
 }
 
-// What the components rely on without a check of their own.
+// Checks the conditions that the components rely on and do not check themselves when they restore their
+// state.
 void check(const BalancerState& state) {
     for (const auto& [id, request] : state.router.active_requests) check(id, request.request_line);
     for (const RequestId id : state.downstream.idle_clients)
         if (!state.downstream.clients.contains(id))
-            throw ParseError(named("idle client", id), "is not among the clients");
+            throw ParseError(with_id("idle client", id), "is not among the clients");
     for (const auto& [id, transferred] : state.upstream.attempts)
         if (!state.upstream.addresses.contains(transferred.attempt.address))
-            throw ParseError(named("the attempt of request", id), "has an unknown address");
+            throw ParseError(with_id("the attempt of request", id), "has an unknown address");
 }
 
 }  // namespace
--- a/src/hot_restart/balancer_state.h
+++ b/src/hot_restart/balancer_state.h
@@ -1,7 +1,8 @@
 /// \file
-/// The state of a balancer as plain data, and its form as bytes.
+/// The state of a balancer as plain data, and its serialization to bytes.
 ///
-/// The order of the fields here is that of state version 1: state_version.h says what to do when it changes.
+/// The fields below are in the order in which state version 1 serializes them. state_version.h says what
+/// to do when that order changes.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,29 +16,30 @@
 
 namespace headrouter::hot_restart {
 
-/// A timer of the policy: when it is due, and its token.
+/// A pending timer of the policy: its due time and its token.
 using PolicyTimer = std::pair<TimePoint, uint64_t>;
 
-/// All that the next process needs beside the descriptors.
+/// Holds everything that the next process needs apart from the file descriptors.
 struct BalancerState {
     RequestRouter::State router;
     Downstream::State downstream;
     Upstream::State upstream;
-    std::vector<PolicyTimer> timers;  ///< in the order in which they are due
-    int64_t list_version = 0;         ///< as in Components
+    std::vector<PolicyTimer> timers;  ///< in ascending order of due time
+    int64_t list_version = 0;         ///< as in Components, like the next two fields
     std::string list_source;
     TimePoint list_good_until;
 
-    /// How many descriptors belong to it: one for each client and each attempt.
+    /// Returns the number of descriptors that belong to the state: one for each client and each attempt.
     [[nodiscard]] size_t connection_count() const {
         return downstream.clients.size() + upstream.attempts.size();
     }
 };
 
+/// Returns the serialized state.
 [[nodiscard]] std::string encode(BalancerState state);
 
-/// What encode() made. Throws ParseError where the bytes are cut off or garbled, or their parts contradict
-/// each other. The policy's state, which is bytes itself, is not looked at.
+/// Parses the bytes that encode() returned. Throws ParseError if the bytes are truncated or malformed, or if
+/// their parts contradict each other. The policy's state, which is itself an array of bytes, is not checked.
 [[nodiscard]] BalancerState decode(std::string_view bytes);
 
 }  // namespace headrouter::hot_restart
--- a/src/hot_restart/hot_restart_channel.cpp
+++ b/src/hot_restart/hot_restart_channel.cpp
@@ -19,20 +19,20 @@
 
 namespace {
 
-// Both processes are on one machine and busy with nothing else; one that takes longer is stuck, and clients
-// wait.
+// Timeout of one send or receive. Both processes run on one machine and do nothing else during the
+// exchange, so one that takes longer is stuck, and clients are waiting meanwhile.
 constexpr Duration step_timeout = millis(500);
 
-// For all steps together: many that are each in time must not hold up a process that serves, or one that is
-// to.
+// Timeout of all steps together. Without it, many steps that each finish in time could stall the process that
+// serves or the one that is starting.
 constexpr Duration exchange_timeout = seconds(1);
 
-// The greeting with a version's name is the longest text beside a part of the state.
+// The longest message after a part of the state is the greeting with the version name.
 constexpr size_t receive_buffer_bytes = HotRestartChannel::max_body_bytes + 64;
 
 constexpr size_t descriptors_size = HotRestartChannel::max_descriptors * sizeof(int);
 
-// Room for the descriptors of one message.
+// Holds the control data with the descriptors of one message.
 struct ControlBuffer {
     alignas(cmsghdr) char bytes[CMSG_SPACE(descriptors_size)] = {};
 };
@@ -59,7 +59,7 @@
     }
 }
 
-void attach(msghdr& message, ControlBuffer& control, std::span<const int> descriptors) {
+void attach_descriptors(msghdr& message, ControlBuffer& control, std::span<const int> descriptors) {
     message.msg_control = control.bytes;
     message.msg_controllen = CMSG_SPACE(descriptors.size_bytes());
     cmsghdr* header = CMSG_FIRSTHDR(&message);
@@ -69,7 +69,7 @@
     std::memcpy(CMSG_DATA(header), descriptors.data(), descriptors.size_bytes());
 }
 
-std::vector<Fd> attached(msghdr& message) {
+std::vector<Fd> take_descriptors(msghdr& message) {
     std::vector<Fd> descriptors;
     for (cmsghdr* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
         if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
@@ -88,8 +88,8 @@
 HotRestartChannel HotRestartChannel::connect_to(const std::string& path) {
     const auto address = unix_address(path);
     if (!address) return {};
-    // Where the other side's queue is full, a connect that blocks would wait for a process that may never
-    // wake.
+    // The socket is non-blocking: if the parent's accept queue is full, a blocking connect() would wait for a
+    // process that may be stopped for good.
     Fd socket = make_socket();
     if (!socket || connect(socket.get(), generic(*address), sizeof *address) != 0) return {};
     return HotRestartChannel(std::move(socket));
@@ -126,13 +126,14 @@
     message.msg_iov = &part;
     message.msg_iovlen = 1;
     ControlBuffer control;
-    if (!descriptors.empty()) attach(message, control, descriptors);
+    if (!descriptors.empty()) attach_descriptors(message, control, descriptors);
     const TimePoint deadline = step_deadline();
     while (wait_until_ready(socket_.get(), POLLOUT, deadline)) {
         if (sendmsg(socket_.get(), &message, MSG_NOSIGNAL | MSG_DONTWAIT) >= 0) return;
-        if (!is_transient_send_error(errno)) throw HotRestartError("the other process is gone");
+        if (!is_transient_send_error(errno))
+            throw HotRestartError("the other process has closed the channel");
     }
-    throw HotRestartError("the other process does not read");
+    throw HotRestartError("the other process did not read the message in time");
 }
 
 void HotRestartChannel::try_send(HotRestartMessageType type, std::string_view body) {
@@ -154,8 +155,9 @@
     const ssize_t size = recvmsg(socket_.get(), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
     if (size < 0 && is_transient_receive_error(errno)) return std::nullopt;
     if (size <= 0) return HotRestartMessage{};
-    received.descriptors = attached(message);
-    if ((message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0) throw HotRestartError("a message is too long");
+    received.descriptors = take_descriptors(message);
+    if ((message.msg_flags & (MSG_TRUNC | MSG_CTRUNC)) != 0)
+        throw HotRestartError("received a message that exceeds the size limit");
     received.text.resize(static_cast<size_t>(size));
     return received;
 }
@@ -165,10 +167,10 @@
     while (wait_until_ready(socket_.get(), POLLIN, deadline)) {
         std::optional<HotRestartMessage> message = receive();
         if (!message) continue;
-        if (message->is_end()) throw HotRestartError("the other process is gone");
+        if (message->is_end()) throw HotRestartError("the other process has closed the channel");
         return std::move(*message);
     }
-    throw HotRestartError("the other process says nothing");
+    throw HotRestartError("received no message from the other process in time");
 }
 
 std::string hot_restart_socket_path(const std::string& folder, const std::string& listen) {
--- a/src/hot_restart/hot_restart_child.cpp
+++ b/src/hot_restart/hot_restart_child.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// More than any balancer's state: a process that sends more is broken.
+// Larger than the state of any balancer, so a process that sends more is faulty.
 constexpr size_t max_state_bytes = 64 << 20;
 
 }  // namespace
@@ -19,7 +19,7 @@
     HotRestartChannel channel = HotRestartChannel::connect_to(path);
     if (!channel.is_open()) return nullptr;
     try {
-        if (!channel.is_own_user()) throw HotRestartError("the other process is another user's");
+        if (!channel.is_own_user()) throw HotRestartError("the other process runs under another user");
         channel.begin_exchange();
         channel.send_greeting(hot_restart::state_version.name);
         std::unique_ptr<HotRestartChild> child(new HotRestartChild(std::move(channel)));
@@ -41,7 +41,8 @@
         std::move(message.descriptors.begin(), message.descriptors.end(), std::back_inserter(connections_));
         switch (message.type()) {
             case HotRestartMessageType::listener:
-                if (connections_.size() != 1) throw HotRestartError("the listener did not come");
+                if (connections_.size() != 1)
+                    throw HotRestartError("the listener message does not hold exactly one descriptor");
                 listener_ = std::move(connections_.back());
                 connections_.clear();
                 break;
@@ -49,17 +50,18 @@
             case HotRestartMessageType::connections: break;
             case HotRestartMessageType::end_with_state:
             case HotRestartMessageType::end_without_state:
-                if (!listener_) throw HotRestartError("the listener did not come");
+                if (!listener_) throw HotRestartError("the transfer ended without a listener");
                 has_state_ = message.type() == HotRestartMessageType::end_with_state;
                 return;
-            default: throw HotRestartError("a message of an unknown type came");
+            default: throw HotRestartError("received a message of an unknown type");
         }
     }
 }
 
 void HotRestartChild::append_state(std::string_view bytes) {
     state_ += bytes;
-    if (state_.size() > max_state_bytes) throw HotRestartError("the state has no end");
+    if (state_.size() > max_state_bytes)
+        throw HotRestartError("the received state exceeds " + std::to_string(max_state_bytes) + " bytes");
 }
 
 bool HotRestartChild::confirm_takeover() {
@@ -89,7 +91,7 @@
         if (!received) return;
         message = std::move(*received);
     } catch (const HotRestartError&) {
-        message = {};  // as if it had closed the channel
+        message = {};  // handled as if the parent had closed the channel
     }
     if (message.is_end()) {
         ev_io_stop(loop_, &parent_readable_);
--- a/src/hot_restart/hot_restart_child.h
+++ b/src/hot_restart/hot_restart_child.h
@@ -1,5 +1,5 @@
 /// \file
-/// The starting process's end of a hot restart.
+/// The starting process's side of a hot restart.
 #pragma once
 #include <ev.h>
 
@@ -14,13 +14,14 @@
 
 namespace headrouter {
 
-/// Takes over from the process that runs. Everything up to confirm_takeover() blocks, for half a second at
-/// each step at most: nothing is served yet. Used on the thread of the event loop.
+/// Takes over from the running process. All calls up to and including confirm_takeover() block, for at
+/// most half a second at each step, which is acceptable because the starting process serves no clients
+/// yet. Used on the thread of the event loop.
 class HotRestartChild {
    public:
-    /// Gets the called process's listener and, where both name the same version of the state's form, its
-    /// state and connections. Null where nobody listens at `path`, or the other process fails; a failure is
-    /// logged.
+    /// Connects to the running process and receives its listener and, if both processes have the same
+    /// state version, its state and connections. Returns null if no process listens at `path` or the
+    /// exchange fails; a failure is logged.
     [[nodiscard]] static std::unique_ptr<HotRestartChild> connect_to_parent(const std::string& path,
                                                                             Log& log);
 
@@ -28,19 +29,20 @@
     HotRestartChild(const HotRestartChild&) = delete;
     HotRestartChild& operator=(const HotRestartChild&) = delete;
 
-    /// Whether state and connections came; otherwise it is the listener alone.
+    /// Returns whether state and connections were received; otherwise only the listener was.
     [[nodiscard]] bool has_state() const { return has_state_; }
-    /// The bytes for hot_restart::unpack().
+    /// Returns the bytes for hot_restart::unpack().
     [[nodiscard]] const std::string& state() const { return state_; }
     [[nodiscard]] Fd take_listener() { return std::move(listener_); }
-    /// The descriptors for hot_restart::unpack().
+    /// Moves out the descriptors for hot_restart::unpack().
     [[nodiscard]] std::vector<Fd> take_connections() { return std::move(connections_); }
 
-    /// Tells the old process that everything is restored; true once it has let go of it, for good.
+    /// Reports to the old process that everything is restored. Returns true once the old process has
+    /// confirmed that it no longer uses what it sent; false if the confirmation fails.
     [[nodiscard]] bool confirm_takeover();
 
-    /// Calls back with the number of descriptors that the old process still holds, each time it tells, and
-    /// with zero when that process is gone.
+    /// Starts to call `on_descriptors_held` with the number of descriptors that the old process still holds,
+    /// each time that process reports it, and with zero when that process exits.
     void watch_parent(struct ev_loop* loop, std::function<void(int)> on_descriptors_held);
 
    private:
@@ -54,7 +56,7 @@
     bool has_state_ = false;
     std::string state_;
     std::vector<Fd> connections_;
-    struct ev_loop* loop_ = nullptr;  // once the parent is watched
+    struct ev_loop* loop_ = nullptr;  // set by watch_parent()
     ev_io parent_readable_{};
     std::function<void(int)> on_descriptors_held_;
 };
--- a/src/hot_restart/hot_restart_parent.cpp
+++ b/src/hot_restart/hot_restart_parent.cpp
@@ -61,9 +61,11 @@
         if (!received) return;
         message = std::move(*received);
     } catch (const HotRestartError&) {
-        message = {};  // as if it had closed the channel
+        message = {};  // handled as if the child had closed the channel
     }
-    if (handed_over_) {  // a child that has everything has nothing to say: it is gone
+    if (handed_over_) {
+        // After the handover a child sends no more messages: the channel is readable because the child
+        // exited.
         close_child();
         handed_over_ = false;
         callbacks_.resume();
@@ -78,12 +80,13 @@
         log_.warning("hot_restart_child_failed", {{"error", error.what()}});
         return close_child();
     }
-    stop_listening();  // the path is the child's now
+    stop_listening();  // the child now listens at this path
     handed_over_ = true;
     callbacks_.release(with_state);
 }
 
-// Nothing is released before the child has said that it has everything: until then this process can go on.
+// Releases nothing before the child has confirmed that it has restored everything, so that until then this
+// process can continue to serve.
 void HotRestartParent::hand_over(bool with_state) {
     child_.begin_exchange();
     const int listener = callbacks_.listener();
@@ -92,7 +95,7 @@
     child_.send(with_state ? HotRestartMessageType::end_with_state
                            : HotRestartMessageType::end_without_state);
     if (child_.wait_for_message().type() != HotRestartMessageType::ready)
-        throw HotRestartError("the other process did not take over");
+        throw HotRestartError("the other process did not confirm the takeover");
     child_.send(HotRestartMessageType::released);
 }
 
--- a/src/hot_restart/transfer_state.cpp
+++ b/src/hot_restart/transfer_state.cpp
@@ -16,12 +16,13 @@
 
 namespace {
 
-// What is handed over is a moment old; more means another machine's clock, or a process that was stopped.
+// A state is packed moments before it is restored. A greater age means that its times are of another
+// machine's clock or that a process was stopped meanwhile.
 constexpr Duration max_age = seconds(5);
 
 uint64_t checksum_of(std::string_view bytes) { return XXH64(bytes.data(), bytes.size(), 0); }
 
-// The state's bytes, with what tells whether this process can use them.
+// Wraps the state's bytes together with the fields that decide whether this process can use them.
 struct Envelope {
     std::string version_name;
     TimePoint packed_at;
@@ -54,13 +55,13 @@
 
 void check(const Envelope& envelope, TimePoint now) {
     if (envelope.version_name != state_version.name)
-        throw ParseError("the state", "is of another version", std::string(state_version.name));
+        throw ParseError("the state", "has another version", std::string(state_version.name));
     const Duration age = now - envelope.packed_at;
     if (age < Duration{} || age > max_age)
         throw ParseError("the state", "is " + std::to_string(to_seconds(age)) + " seconds old",
                          "0 to " + std::to_string(to_seconds(max_age)));
     if (envelope.checksum != checksum_of(envelope.state))
-        throw ParseError("the state", "is garbled", "bytes that fit its checksum");
+        throw ParseError("the state", "is corrupt", "bytes that match its checksum");
 }
 
 BalancerState state_of(const Components& components) {
--- a/src/hot_restart/transfer_state.h
+++ b/src/hot_restart/transfer_state.h
@@ -1,9 +1,9 @@
 /// \file
-/// The transfer of a whole balancer to the process that takes its place: every request, every connection
-/// whatever its stage, the policy's state and its timers, as bytes and descriptors.
+/// Packs a whole balancer for the process that replaces it, and restores it there: every request, every
+/// connection whatever its stage, the policy's state and its timers, as bytes and file descriptors.
 ///
-/// Times are of the machine's steady clock, which both processes share. No I/O here: HotRestartParent and
-/// HotRestartChild carry the bytes over. balancer_state.h has their form, state_version.h its version.
+/// Times are of the machine's steady clock, which both processes share. No I/O: HotRestartParent and
+/// HotRestartChild transfer the bytes. balancer_state.h defines their layout, state_version.h its version.
 #pragma once
 #include <map>
 #include <string>
@@ -16,31 +16,31 @@
 
 namespace headrouter::hot_restart {
 
-/// The parts of a balancer whose state is transferred; they outlive the call.
+/// Refers to the parts of a balancer whose state is transferred; they must outlive the call.
 struct Components {
     RequestRouter& router;
     Downstream& downstream;
     Upstream& upstream;
-    std::multimap<TimePoint, uint64_t>& timers;  ///< the policy's timers: when each is due, and its token
-    int64_t& list_version;       ///< of the endpoint list, as discovery last reported it; negative for none
-    std::string& list_source;    ///< HOST:PORT of the discovery whose version that is
-    TimePoint& list_good_until;  ///< zero where it is not known
+    std::multimap<TimePoint, uint64_t>& timers;  ///< the policy's timers: token by due time
+    int64_t& list_version;       ///< of the endpoint list that discovery last sent; negative if none
+    std::string& list_source;    ///< HOST:PORT of the discovery that sent that list
+    TimePoint& list_good_until;  ///< end of the time the list is known to be current; zero: unknown
 };
 
-/// A packed state.
+/// Holds a packed state.
 struct TransferState {
     std::string bytes;
-    /// Of the connections, in the order of the bytes; still owned by the components.
+    /// Descriptors of the connections, in the order of the bytes; still owned by the components.
     std::vector<int> descriptors;
 };
 
-/// Packs the state of `components` as of `now`. Nothing is changed.
+/// Packs the state of `components` at the time `now`. Does not change the components.
 [[nodiscard]] TransferState pack(Components components, TimePoint now);
 
-/// Restores into `components`, which have served nothing yet, what pack() made of those of the other process.
-/// Throws ParseError where the bytes are cut off, garbled, of another version or too old, or where there are
-/// more or fewer descriptors than connections. The components must not be used then; the descriptors are
-/// closed, the connections stay with the other process.
+/// Restores the state that pack() returned in the other process into `components`, which must not have
+/// served any client. Throws ParseError if the bytes are truncated, corrupt, of another version or too
+/// old, or if there are more or fewer descriptors than connections. After an exception the components must
+/// not be used; the descriptors are closed, and the connections stay with the other process.
 void unpack(Components components, std::string_view bytes, std::vector<Fd> descriptors, TimePoint now);
 
 }  // namespace headrouter::hot_restart
--- a/tests/hot_restart/balancer_parts.h
+++ b/tests/hot_restart/balancer_parts.h
@@ -1,5 +1,5 @@
-// The parts of a balancer that a hot restart transfers, without an event loop that turns, and the recorded
-// state that they read.
+// The parts of a balancer that a hot restart transfers, on an event loop that is not run, and helpers to read
+// the recorded state.
 #pragma once
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -63,7 +63,7 @@
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// When a state was packed: behind the name of its version.
+// Returns the time at which `state` was packed; it follows the name of the version.
 inline TimePoint packed_at(const std::string& state) {
     capture::ByteReader reader(state, "the state");
     std::string version;
--- a/tests/hot_restart/record_state.py
+++ b/tests/hot_restart/record_state.py
@@ -2,8 +2,8 @@
 """Records the state that a build hands over at a hot restart: record_state.py PROGRAM VERSION_NAME FILE
 
 Starts PROGRAM with a configuration that uses all kinds of fields, brings connections to each of their stages, asks for
-the state as a starting process would, writes its bytes to FILE and prints how many descriptors came with it. It never
-confirms, so the process goes on; it is ended afterwards.
+the state as a starting process would, writes its bytes to FILE and prints the number of descriptors received with it.
+The script never confirms the takeover, so PROGRAM keeps serving until the script ends it.
 """
 import array
 import json
@@ -18,7 +18,7 @@
 LISTEN = "127.0.0.1:24080"
 SERVERS = ["127.0.0.1:24082", "127.0.0.1:24081"]
 END_OF_STATE = b"w"
-PIECE_OF_STATE = b"p"
+STATE_PART = b"p"
 
 
 def address(text):
@@ -27,7 +27,7 @@
 
 
 def configuration():
-    # Version 1's first build writes its tables in the order of its hash tables: named so, that is the sorted order.
+    # The first build of version 1 writes its tables in hash-table order; with these names that is the sorted order.
     instances = [
         {"instanceId": f"s{k}", "hostPort": SERVERS[k], "zone": "ab"[k], "lifecycle": "SERVING", "weight": 1 + k}
         for k in (1, 0)
@@ -55,7 +55,7 @@
 
 
 class Servers:
-    """Listens at each server's address and keeps what is accepted."""
+    """Listens at each server's address and keeps the accepted connections."""
 
     def __init__(self):
         self.listeners = []
@@ -68,7 +68,7 @@
             self.listeners.append(listener)
 
     def take(self):
-        """The next connection, after its request line was read."""
+        """Returns the next connection after reading its request line."""
         for _ in range(500):
             for listener in self.listeners:
                 try:
@@ -93,7 +93,7 @@
 
 
 def hand_over(folder, version):
-    """The state's bytes and the number of descriptors, as the starting process gets them."""
+    """Returns the state's bytes and the number of descriptors, as the starting process receives them."""
     channel = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel.connect(f"{folder}/headrouter-{LISTEN}.sock")
     channel.sendall(f"headrouter 1 {version}".encode())
@@ -107,10 +107,10 @@
             descriptors += len(numbers)
             for number in numbers:
                 os.close(number)
-        if data[:1] == PIECE_OF_STATE:
+        if data[:1] == STATE_PART:
             state += data[1:]
         if data[:1] == END_OF_STATE:
-            return state, descriptors - 1  # without the listener
+            return state, descriptors - 1  # the listener is not counted
         if not data:
             raise RuntimeError("the process hands nothing over")
 
@@ -134,15 +134,15 @@
                 kept.append(server)
                 server.sendall(b"LOAD 5000\r\n")
             time.sleep(0.1)
-            for server in kept[1:5:2]:  # two at one moment: latencies
+            for server in kept[1:5:2]:  # two reports at the same time: classified as latencies
                 server.sendall(b"LOAD 60\r\n")
             time.sleep(0.05)
-            kept[5].sendall(b"LOAD 70\r\n")  # in doubt: a latency or a load
+            kept[5].sendall(b"LOAD 70\r\n")  # undecided: a latency or a load report
             kept[0].sendall(b"a word without an answer\r\n")
             kept[2].sendall(b"half a wo")
             kept.append(client(request_line(5, "t=silver,g=alone,again=1,h=4000")))  # its server does not answer
             kept.append(servers.take())
-            kept.append(client("OPEN 00000000000000"))  # has not said yet what it wants
+            kept.append(client("OPEN 00000000000000"))  # has not sent its whole request line yet
             time.sleep(0.05)
             state, descriptors = hand_over(folder, version)
         finally:
--- a/tests/hot_restart/test_hot_restart.cpp
+++ b/tests/hot_restart/test_hot_restart.cpp
@@ -1,4 +1,4 @@
-/// Hot restart with real processes; the test plays their clients, servers and discovery.
+/// Tests hot restart with real processes; the test acts as their clients, servers and discovery.
 #include <sys/prctl.h>
 #include <sys/stat.h>
 #include <sys/un.h>
@@ -7,14 +7,14 @@
 #include <csignal>
 #include <cstdio>
 #include <fstream>
-#include <iostream>  // its streams must be there before the cases run
+#include <iostream>  // constructs the standard streams before the cases run
 
 #include "app/command_line.h"
 #include "hot_restart/state_version.h"
 #include "proxy/process_fixture.h"
 #include "proxy/socket_peers.h"
 
-TEST(HotRestart, TheNewProcessTakesOverRequestsInEveryState) {
+TEST(HotRestart, NewProcessTakesOverRequestsInEveryState) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     auto request = fixture.establish();
@@ -26,7 +26,7 @@
     fixture.run_for(seconds(0.05));
     const auto next = fixture.start();
     EXPECT_EQ(fixture.admin_reply(old, "STATUS").substr(0, 5), "error");
-    fixture.shut_down(old.pid);  // right after it let go
+    fixture.shut_down(old.pid);  // right after the old process has released everything
     request.client.write("line\r\n");
     EXPECT_TRUE(fixture.receives(request.server, "half a line\r\n"));
     pending_server.write("UP q\r\n");
@@ -36,7 +36,8 @@
     slow_server.write("UP t\r\n");
     EXPECT_TRUE(fixture.receives(slow, "UP t\r\n"));
     fixture.exchange_lines(request, "more\r\n");
-    // The adopted request is none that the new process established; an id that is open stays taken.
+    // The new process does not count the adopted request as one that it established itself. The id of an open
+    // request stays in use.
     EXPECT_EQ(fixture.admin_reply(next, "METRICS").find(R"({"succeeded":{"chat":2},)"), 0);
     EXPECT_NE(fixture.admin_reply(next, "METRICS").find(R"("forwards":1,"outstanding":3,)"),
               std::string::npos);
@@ -50,7 +51,7 @@
     EXPECT_TRUE(request.client.saw_fin);
 }
 
-TEST(HotRestart, ThreeProcessesInARowWithoutAShutdownOfTheFirstTwo) {
+TEST(HotRestart, RequestSurvivesTwoRestartsWhenTheFirstTwoProcessesShutDownLate) {
     ProcessFixture fixture;
     const auto first = fixture.start();
     auto request = fixture.establish();
@@ -59,13 +60,13 @@
     fixture.exchange_lines(request, "one\r\n");
     fixture.run_for(seconds(0.3));
     fixture.exchange_lines(request, "two\r\n");
-    fixture.shut_down(second.pid);  // late, and out of order
+    fixture.shut_down(second.pid);  // after its successor has taken over, and before the first process
     fixture.shut_down(first.pid);
     fixture.exchange_lines(request, "three\r\n");
     EXPECT_NE(fixture.admin_reply(third, "METRICS").find(R"("outstanding":1,)"), std::string::npos);
 }
 
-TEST(HotRestart, TheOldProcessServesOnIfTheNewOneDies) {
+TEST(HotRestart, OldProcessContinuesToServeWhenTheNewOneDies) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     auto request = fixture.establish();
@@ -89,7 +90,7 @@
     EXPECT_EQ(fixture.admin_reply(last, "STATUS"), "done\r\n");
 }
 
-TEST(HotRestart, ATruncatedOrMalformedStateMeansAStartWithoutIt) {
+TEST(HotRestart, NewProcessStartsWithoutTheStateWhenItIsTruncatedOrCorrupt) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     auto request = fixture.establish();
@@ -127,8 +128,9 @@
     }
 }
 
-// The old process is stopped and accepts nothing; the queue of its hot-restart socket is full.
-TEST(HotRestart, AStoppedOldProcessDoesNotDelayTheNewOne) {
+// Guards against a blocking connect: the old process is stopped, so the accept queue of its hot-restart
+// socket is full.
+TEST(HotRestart, NewProcessIsNotDelayedWhenTheOldOneIsStopped) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     kill(old.pid, SIGSTOP);
@@ -143,11 +145,11 @@
     queued.clear();
     kill(next.pid, SIGKILL);
     waitpid(next.pid, nullptr, 0);
-    const auto last = fixture.start();  // gets into the queue, and no answer
+    const auto last = fixture.start();  // its connection is queued and never answered
     EXPECT_EQ(fixture.admin_reply(last, "STATUS"), "done\r\n");
 }
 
-TEST(HotRestart, AnotherStateVersionGetsTheListenerAndTheOldProcessMigratesItsClients) {
+TEST(HotRestart, OldProcessHandsOverTheListenerAndMigratesItsClientsWhenStateVersionsDiffer) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     auto request = fixture.establish();
@@ -159,7 +161,7 @@
     queued.write("PING\r\n");
     fixture.run_for(seconds(0.1));
     queued.read();
-    EXPECT_TRUE(queued.received.empty());  // the next process answers it
+    EXPECT_TRUE(queued.received.empty());  // the old process no longer accepts; the next one would answer
     fixture.exchange_lines(request, "meanwhile\r\n");
     kill(old.pid, SIGTERM);
     EXPECT_TRUE(fixture.receives(request.client, "MOVE\r\n"));
@@ -169,8 +171,9 @@
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// Guards against a new process that waits for ever: each piece comes in time, and there is always another.
-TEST(HotRestart, AnOldProcessThatSendsItsStateSlowlyDoesNotDelayTheNewOne) {
+// Guards against a new process that waits for ever because each part of the state arrives in time but the
+// state never ends.
+TEST(HotRestart, NewProcessIsNotDelayedWhenTheOldOneSendsItsStateSlowly) {
     ProcessFixture fixture;
     const FileDescriptor parent = fixture.listen_as_parent();
     const auto next = fixture.launch();
@@ -185,7 +188,7 @@
     EXPECT_TRUE(fixture.run_until([&] { return fixture.is_serving(next); }));
 }
 
-TEST(HotRestart, TwoProcessesShareTheDescriptors) {
+TEST(HotRestart, NewProcessRejectsClientsWhileTheOldOneHoldsTheDescriptors) {
     ProcessFixture fixture;
     const FileDescriptor parent = fixture.listen_as_parent();
     const auto next = fixture.launch();
@@ -200,13 +203,13 @@
     Peer refused = fixture.connect_client();
     EXPECT_TRUE(fixture.receives(refused, "BUSY"));
     fixture.exchange_lines(request, "on\r\n");
-    old.fd.close();  // all are free again
+    old.fd.close();  // the old process has exited: all descriptors are available again
     fixture.run_for(seconds(0.1));
     auto other = fixture.establish();
     fixture.exchange_lines(other, "on\r\n");
 }
 
-TEST(HotRestart, ANewProcessWithABadConfigurationLeavesTheOldOneServing) {
+TEST(HotRestart, OldProcessContinuesToServeWhenTheNewOneHasABadConfiguration) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     auto request = fixture.establish();
@@ -223,7 +226,7 @@
     fixture.exchange_lines(request, "on\r\n");
 }
 
-TEST(HotRestart, WithoutACommonFolderBothProcessesServe) {
+TEST(HotRestart, BothProcessesServeWhenTheyHaveNoCommonFolder) {
     for (const char* folder : {"", "/nowhere/at/all", "/proc"}) {
         ProcessFixture fixture;
         const auto old = fixture.start(folder);
@@ -241,7 +244,7 @@
     }
 }
 
-TEST(HotRestart, TheSocketOfAKilledProcessDoesNotDelayTheNextOne) {
+TEST(HotRestart, NewProcessIsNotDelayedBySocketOfAKilledProcess) {
     ProcessFixture fixture;
     const auto old = fixture.start();
     kill(old.pid, SIGKILL);
@@ -256,7 +259,7 @@
     EXPECT_NE(access(fixture.hot_restart_socket.c_str(), F_OK), 0);
 }
 
-TEST(HotRestart, EachOfAThousandClientsThatConnectMeanwhileIsAnswered) {
+TEST(HotRestart, AnswersEachOfAThousandClientsThatConnectDuringRestarts) {
     ProcessFixture fixture;
     auto program = fixture.start();
     std::vector<Peer> waiting;
@@ -289,9 +292,9 @@
     EXPECT_EQ(answered, 1020);
 }
 
-// Guards against two processes that publish as one replica: the new one has the address once the old one let
-// go.
-TEST(HotRestart, TheNewProcessPublishesGossipInTheOldOnesPlace) {
+// Guards against two processes that send gossip as the same replica: the new one binds the address only after
+// the old one has released it.
+TEST(HotRestart, OnlyTheNewProcessSendsGossipAfterARestart) {
     ProcessFixture fixture;
     GossipPeer other;
     const std::string own = GossipPeer().address;
@@ -312,7 +315,7 @@
     const auto next = fixture.start();
     const int received = count_received();
     EXPECT_GE(received, 1);
-    EXPECT_LE(received, 2);  // six seconds: one round or two
+    EXPECT_LE(received, 2);  // six seconds hold one gossip round or two
     fixture.shut_down(old.pid);
     EXPECT_GE(count_received(), 1);
     fixture.shut_down(next.pid);
--- a/tests/hot_restart/test_state_form.cpp
+++ b/tests/hot_restart/test_state_form.cpp
@@ -1,5 +1,5 @@
-// The form of the state that a process hands over at a hot restart, pinned for its version: a change of the
-// form that does not raise the version would let two builds misread each other's state.
+// Pins the layout of the state that a process hands over at a hot restart to its version. If the layout
+// changed and the version did not, two builds would misread each other's state.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -14,9 +14,9 @@
 
 namespace headrouter::capture {
 
-// Reads a state in which every list has two elements, every optional is set and every text has one character,
-// and records the type of each field in the order of the visits: what the form is, whatever the policy would
-// decide.
+// Records the type of each field in the order of the visits, which is the layout, whatever the policy
+// would decide. To this end it supplies a state in which every list has two elements, every optional is
+// set and every text has two characters.
 class FieldRecorder {
    public:
     static constexpr bool writes = false;
@@ -36,14 +36,14 @@
         }
     }
 
-    // What is no plain value: the size of a list or a text, or a text's characters.
+    // Supplies what is not a plain value: the size of a list or text, or a text's characters.
     void raw(void* into, size_t size) {
         uint32_t count = 2;
         if (size == sizeof count) {
             std::memcpy(into, &count, size);
             types_ += '[';
         } else {
-            // Characters, each text another one, so that the keys of a table differ.
+            // Each text gets a different character, so that the keys of a table differ.
             std::memset(into, 'a' + static_cast<int>(texts_++ % 26), size);
             types_ += 't';
         }
@@ -64,14 +64,13 @@
 namespace {
 
 constexpr const char* what_to_do =
-    "The form of the state that a hot restart hands over has changed, and its version has not. If the change "
-    "is "
-    "meant: raise number and name of state_version (src/hot_restart/state_version.h), record the new form "
-    "with "
-    "tests/hot_restart/record_state.py as state-N.bin and pin the policy's fields in policy-fields-N.txt, N "
-    "the new "
-    "number; the files of older versions stay. If it is not meant, restore the order and the types of the "
-    "fields.";
+    "The layout of the state that a hot restart hands over has changed, but its version has not. If the "
+    "change is intended: raise number and name of state_version (src/hot_restart/state_version.h), record "
+    "the "
+    "new layout with tests/hot_restart/record_state.py as state-N.bin and the policy's fields in "
+    "policy-fields-N.txt, where N is the new number; keep the files of older versions. If it is not "
+    "intended, "
+    "restore the order and the types of the fields.";
 
 std::string pinned(const std::string& name, const std::string& extension) {
     return std::string(STATE_FOLDER) + "/" + name + "-" + std::to_string(hot_restart::state_version.number) +
@@ -87,14 +86,14 @@
 
 }  // namespace
 
-// Builds of commit 73c782f and before name the form so: another text would cost an upgrade every connection.
-TEST(StateForm, VersionOneHasTheNameThatItsFirstBuildSends) {
+// Builds up to commit 73c782f send this name: with any other text an upgrade would lose every connection.
+TEST(StateForm, VersionOneKeepsTheNameThatItsFirstBuildsSend) {
     if (hot_restart::state_version.number != 1) return;
     EXPECT_EQ(hot_restart::state_version.name,
               "ec6d23fa37f0bb6f2bc5a9b67f7ab33eb754bbf05c81876dedf6d7df3d126070");
 }
 
-TEST(StateForm, TheFieldsOfThePolicyAreThoseOfItsVersion) {
+TEST(StateForm, PolicyFieldsMatchThePinnedFieldsOfTheVersion) {
     RecordingActions actions;
     BalancingPolicy policy(make_config(), 1, actions, cycle_start);
     capture::FieldRecorder fields;
@@ -103,8 +102,8 @@
     EXPECT_EQ(wrapped(fields.types()), read_whole(pinned("policy-fields", ".txt"))) << what_to_do;
 }
 
-// A state that a build of this version handed over under load is read here, and written again to the bit.
-TEST(StateForm, ARecordedStateOfItsVersionIsReadAndWrittenAgainToTheBit) {
+// The recorded state was handed over by a build of this version under load.
+TEST(StateForm, RecordedStateOfTheVersionIsRestoredAndPackedToIdenticalBytes) {
     const std::string recorded = read_whole(pinned("state", ".bin"));
     constexpr size_t connections = 11;
     struct ev_loop* loop = ev_loop_new(0);
--- a/tests/hot_restart/test_transfer_state.cpp
+++ b/tests/hot_restart/test_transfer_state.cpp
@@ -1,4 +1,5 @@
-// What is refused of a state that another process hands over, and what the error says of it.
+// Checks that an invalid transferred state is rejected before anything is restored, with an error that
+// names the cause.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -17,7 +18,8 @@
 
 std::string recorded_transfer() { return read_whole(std::string(STATE_FOLDER) + "/state-1.bin"); }
 
-// The error with which `bytes` are refused, and that nothing was restored; empty where they are not refused.
+// Returns the error with which `bytes` are rejected, empty if they are accepted. Checks that nothing was
+// restored from rejected bytes.
 std::string error_of(const std::string& bytes, size_t descriptors, TimePoint now) {
     struct ev_loop* loop = ev_loop_new(0);
     std::string error;
@@ -25,8 +27,8 @@
         BalancerParts parts(loop);
         try {
             hot_restart::unpack(parts.all(), bytes, sockets(descriptors), now);
-        } catch (const ParseError& refused) {
-            error = refused.what();
+        } catch (const ParseError& rejection) {
+            error = rejection.what();
             EXPECT_EQ(parts.downstream.size(), 0U);
             EXPECT_EQ(parts.upstream.size(), 0U);
         }
@@ -42,17 +44,17 @@
 std::string decode_error(const hot_restart::BalancerState& state) {
     try {
         (void)hot_restart::decode(hot_restart::encode(state));
-    } catch (const ParseError& refused) {
-        return refused.what();
+    } catch (const ParseError& rejection) {
+        return rejection.what();
     }
     return "";
 }
 
 }  // namespace
 
-TEST(TransferState, ARecordedTransferIsRestored) { EXPECT_EQ(error_of(recorded_transfer()), ""); }
+TEST(TransferState, RestoresARecordedTransfer) { EXPECT_EQ(error_of(recorded_transfer()), ""); }
 
-TEST(TransferState, BytesThatAreCutOffAreRefusedWithTheOffset) {
+TEST(TransferState, RejectsTruncatedBytesAndNamesTheOffset) {
     const std::string whole = recorded_transfer();
     for (const size_t size : {size_t{0}, size_t{3}, size_t{70}, whole.size() / 2, whole.size() - 1}) {
         const std::string error = error_of(whole.substr(0, size));
@@ -62,52 +64,52 @@
               "offset 0 of the transfer is followed by 3 bytes; expected 4 at least");
 }
 
-TEST(TransferState, BytesThatFollowAreRefused) {
+TEST(TransferState, RejectsExtraBytesAfterTheEnd) {
     const std::string whole = recorded_transfer();
     EXPECT_EQ(error_of(whole + "x"), "offset " + std::to_string(whole.size()) +
                                          " of the transfer is followed by 1 bytes; expected the end");
 }
 
-TEST(TransferState, AnotherVersionIsRefusedAndTheOwnIsNamed) {
+TEST(TransferState, RejectsAnotherVersionAndNamesTheExpectedOne) {
     std::string other = recorded_transfer();
     const size_t first_of_name = sizeof(uint32_t);
     other[first_of_name] ^= 1;
     EXPECT_EQ(error_of(other),
-              "the state is of another version; expected " + std::string(hot_restart::state_version.name));
+              "the state has another version; expected " + std::string(hot_restart::state_version.name));
 }
 
-TEST(TransferState, AStateOfAnotherTimeIsRefusedWithItsAge) {
+TEST(TransferState, RejectsAStateThatIsTooOldOrFromTheFutureAndNamesItsAge) {
     const std::string whole = recorded_transfer();
-    const TimePoint then = packed_at(whole);
-    EXPECT_EQ(error_of(whole, recorded_connections, then + seconds(5)), "");
-    EXPECT_EQ(error_of(whole, recorded_connections, then + seconds(6)),
+    const TimePoint packed = packed_at(whole);
+    EXPECT_EQ(error_of(whole, recorded_connections, packed + seconds(5)), "");
+    EXPECT_EQ(error_of(whole, recorded_connections, packed + seconds(6)),
               "the state is 6.000000 seconds old; expected 0 to 5.000000");
-    EXPECT_EQ(error_of(whole, recorded_connections, then - seconds(1)),
+    EXPECT_EQ(error_of(whole, recorded_connections, packed - seconds(1)),
               "the state is -1.000000 seconds old; expected 0 to 5.000000");
 }
 
-TEST(TransferState, GarbledBytesAreRefusedByTheirChecksum) {
-    std::string garbled = recorded_transfer();
-    garbled[garbled.size() - 20] ^= 1;
-    EXPECT_EQ(error_of(garbled), "the state is garbled; expected bytes that fit its checksum");
+TEST(TransferState, RejectsCorruptBytesByTheirChecksum) {
+    std::string corrupt = recorded_transfer();
+    corrupt[corrupt.size() - 20] ^= 1;
+    EXPECT_EQ(error_of(corrupt), "the state is corrupt; expected bytes that match its checksum");
 }
 
-TEST(TransferState, AnotherCountOfDescriptorsIsRefusedBeforeAnythingIsRestored) {
+TEST(TransferState, RejectsAWrongNumberOfDescriptorsBeforeAnythingIsRestored) {
     const std::string whole = recorded_transfer();
-    const TimePoint then = packed_at(whole);
-    EXPECT_EQ(error_of(whole, 10, then),
+    const TimePoint packed = packed_at(whole);
+    EXPECT_EQ(error_of(whole, 10, packed),
               "the transfer has 10 descriptors; expected 11, one for each connection");
-    EXPECT_EQ(error_of(whole, 12, then),
+    EXPECT_EQ(error_of(whole, 12, packed),
               "the transfer has 12 descriptors; expected 11, one for each connection");
 }
 
-TEST(TransferState, AnIdleClientThatIsNoClientIsRefused) {
+TEST(TransferState, RejectsAnIdleClientThatIsNotAmongTheClients) {
     hot_restart::BalancerState state;
     state.downstream.idle_clients = {7};
     EXPECT_EQ(decode_error(state), "idle client 7 is not among the clients");
 }
 
-TEST(TransferState, AnAttemptToNoKnownAddressIsRefused) {
+TEST(TransferState, RejectsAnAttemptToAnUnknownAddress) {
     hot_restart::BalancerState state;
     state.upstream.attempts[7].attempt.address = "nowhere";
     EXPECT_EQ(decode_error(state), "the attempt of request 7 has an unknown address");
@@ -115,7 +117,7 @@
     EXPECT_EQ(decode_error(state), "");
 }
 
-TEST(TransferState, AWaitBehindTheEndOfItsRequestLineIsRefused) {
+TEST(TransferState, RejectsAWaitFieldPastTheEndOfTheRequestLine) {
     hot_restart::BalancerState state;
     RequestLine& request_line = state.router.active_requests[7].request_line;
     request_line.line = "OPEN";
@@ -124,7 +126,7 @@
     EXPECT_EQ(decode_error(state), "");
     request_line.wait_length = 3;
     EXPECT_EQ(decode_error(state),
-              "the request line of request 7 has a wait behind its end; expected one within its 4 bytes");
+              "the request line of request 7 has a wait field past its end; expected one within its 4 bytes");
     request_line.wait_offset = 5;
     request_line.wait_length = 0;
     EXPECT_NE(decode_error(state), "");
