--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -45,7 +45,7 @@
         if (!fd) {
             const AcceptError error = classify_accept_error(errno);
             if (error == AcceptError::queue_empty) return;
-            if (error == AcceptError::one_connection) continue;
+            if (error == AcceptError::connection_failed) continue;
             // Without this the loop would report the listening socket as readable again at once.
             accept_watcher_.stop();
             return accept_retry_.start_once(pause_after_failure);
--- a/src/policy/headroom_publisher.cpp
+++ b/src/policy/headroom_publisher.cpp
@@ -25,9 +25,9 @@
     for (const ServerIndex index : servers_.indexes()) {
         const ServerState& server = servers_[index];
         const gossip::ShortServerId short_id = gossip::ShortServerIds::short_id_of(server.endpoint.server);
-        // A short id that two servers share names neither of them.
-        const bool is_named = short_ids_.find(short_id) == index;
-        if (!is_named || !eligibility::takes_new_requests(server.endpoint.state)) continue;
+        // A short id that two servers share identifies neither of them.
+        const bool has_unique_short_id = short_ids_.find(short_id) == index;
+        if (!has_unique_short_id || !eligibility::takes_new_requests(server.endpoint.state)) continue;
         eligible.push_back({index, short_id, ServerTable::listed_weight(server)});
         if (reports_as_degraded(now, server))
             own.push_back({index, gossip::degraded_marker});
@@ -44,7 +44,7 @@
 
 bool HeadroomPublisher::reports_as_degraded(TimePoint now, const ServerState& server) const {
     if (server.outliers.is_failing()) return true;
-    if (server.load_limit.is_mild()) return false;
+    if (server.load_limit.has_steady_low_latency()) return false;
     const std::optional<double> limit = loads_.load_limit(now, server);
     return limit && *limit < std::max(loads_.load_on(server), loads_.full_share(server));
 }
