--- a/src/base/parse_error.h
+++ b/src/base/parse_error.h
@@ -1,4 +1,4 @@
-/// The error for input that cannot be read.
+/// Reports input that cannot be parsed.
 #pragma once
 #include <stdexcept>
 #include <string>
@@ -6,15 +6,15 @@
 
 namespace headrouter {
 
-/// Input from a file, a socket or a pipe that cannot be read or must not be used. what() is one line for the
-/// log.
+/// Reports input from a file, a socket or a pipe that is malformed or not acceptable. what() is one line for
+/// the log.
 class ParseError : public std::runtime_error {
    public:
-    /// For input that has no parts to name.
+    /// Describes a problem of the input as a whole.
     explicit ParseError(const std::string& problem) : std::runtime_error(problem), problem_(problem) {}
 
-    /// `where`: the part of the input, as a subject ("field 'seed'"); `problem`: what is wrong with it ("is
-    /// missing"); `expected`: what would be right, empty where the problem says it.
+    /// Describes a problem of a part of the input. `where` names the part ("field 'seed'"), `problem`
+    /// continues the sentence ("is missing"), `expected` is what is valid; empty if `problem` tells it.
     ParseError(std::string where, std::string problem, std::string expected = "")
         : std::runtime_error(message(where, problem, expected)),
           where_(std::move(where)),
--- a/src/base/pcg32.h
+++ b/src/base/pcg32.h
@@ -1,16 +1,16 @@
-/// The random number generator of all decisions: small, fast, and the same everywhere for the same seed.
+/// Generates the random numbers for all decisions: small, fast, and with the same sequence on every host.
 #pragma once
 #include <cstdint>
 
 namespace headrouter {
 
-/// Permuted congruential generator PCG-XSH-RR, with 64 bits of state and 32 of output (O'Neill, 2014,
-/// pcg-random.org). Generators of the same seed and another `stream` give independent sequences.
+/// Implements the permuted congruential generator PCG-XSH-RR: 64 bits of state, 32 of output (O'Neill, 2014,
+/// pcg-random.org). Generators with equal seeds and different streams give independent sequences.
 class Pcg32 {
    public:
     struct State {
         uint64_t state = 0;
-        uint64_t increment = 1;  ///< odd; different in each stream
+        uint64_t increment = 1;  ///< odd; selects the stream
     };
 
     explicit Pcg32(uint64_t seed, uint64_t stream = default_stream) {
@@ -23,7 +23,7 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(const State& state) { state_ = state; }
 
-    /// The next 32 bits, uniformly distributed.
+    /// Returns the next 32 uniformly distributed bits.
     uint32_t next() {
         constexpr uint64_t multiplier = 6364136223846793005ULL;  // Knuth's MMIX
         const uint64_t old = state_.state;
@@ -33,7 +33,7 @@
         return (mixed >> rotation) | (mixed << ((32 - rotation) & 31));
     }
 
-    /// The next number of the open interval (0, 1): never 0, so that its logarithm exists.
+    /// Returns the next number in the open interval (0, 1): never 0, so that its logarithm is finite.
     double uniform() { return (next() + 0.5) / 4294967296.0; }
 
    private:
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-/// A value or an error, for calls whose failure is ordinary; in the shape of C++23's std::expected.
+/// Holds a value or an error, for calls whose failure is ordinary; modelled on C++23's std::expected.
 #pragma once
 #include <type_traits>
 #include <utility>
@@ -6,16 +6,16 @@
 
 namespace headrouter {
 
-/// Holds either a `Value` or an `Error`, which are different types. Reading the one that is not held throws
+/// Holds either a `Value` or an `Error`, which must be different types. Reading the one not held throws
 /// std::bad_variant_access.
 template <class Value, class Error>
 class [[nodiscard]] Result {
     static_assert(!std::is_same_v<Value, Error>);
 
    public:
-    // NOLINTNEXTLINE(google-explicit-constructor): so that a function can say `return value;`
+    // NOLINTNEXTLINE(google-explicit-constructor): allows `return value;`
     Result(Value value) : content_(std::move(value)) {}
-    // NOLINTNEXTLINE(google-explicit-constructor): so that a function can say `return error;`
+    // NOLINTNEXTLINE(google-explicit-constructor): allows `return error;`
     Result(Error error) : content_(std::move(error)) {}
 
     bool has_value() const { return std::holds_alternative<Value>(content_); }
--- a/src/base/server_index.h
+++ b/src/base/server_index.h
@@ -1,4 +1,4 @@
-/// A server as one balancer numbers it.
+/// Numbers the servers known to one balancer.
 #pragma once
 #include <compare>
 #include <cstddef>
@@ -8,12 +8,12 @@
 
 namespace headrouter {
 
-/// The index of a server at this balancer, in the order in which its endpoint lists first named the servers.
-/// Servers are never removed, so an index holds for the life of the process. Another balancer numbers them
-/// otherwise: messages name servers by their ids. "No server" is an empty std::optional<ServerIndex>.
+/// Identifies a server at this balancer. Servers are numbered in the order in which endpoint lists first
+/// named them and never removed, so an index stays valid for the life of the process. Indexes differ between
+/// balancers, so messages identify servers by id. "No server" is an empty std::optional<ServerIndex>.
 class ServerIndex {
    public:
-    /// The first server's; for containers, which overwrite it.
+    /// Creates the first server's index; for containers, which overwrite it.
     constexpr ServerIndex() = default;
     template <class Integer>
     requires std::is_integral_v<Integer>
@@ -29,7 +29,7 @@
     uint32_t value_ = 0;
 };
 
-/// The indexes of the first so many servers, for a range-based for.
+/// Iterates over the indexes of the first `count` servers, for a range-based for.
 class ServerIndexRange {
    public:
     class Iterator {
--- a/src/base/sliding_window.h
+++ b/src/base/sliding_window.h
@@ -1,4 +1,4 @@
-/// Aggregates over a sliding window of time, kept in a ring of buckets of equal width.
+/// Aggregates values over a sliding time window, in a ring of buckets of equal width.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -9,17 +9,17 @@
 
 namespace headrouter {
 
-/// The buckets of a SlidingWindow.
+/// Holds the buckets of a SlidingWindow.
 template <int bucket_count>
 struct SlidingWindowState {
     Duration bucket_width;
-    int64_t newest_bucket = 0;                   ///< number of the newest one, counted from the clock's zero
-    std::array<double, bucket_count> buckets{};  ///< a ring: bucket k is at k modulo `bucket_count`
+    int64_t newest_bucket = 0;                   ///< number of the newest, counted from the clock's zero
+    std::array<double, bucket_count> buckets{};  ///< ring: bucket k is at index k modulo `bucket_count`
 };
 
-/// A window of `bucket_count` buckets, the newest of which is filled and the oldest dropped as time goes on.
-/// The window so covers between `bucket_count - 1` and `bucket_count` bucket widths. Every call takes the
-/// present; one that lies before an earlier call's counts as that one's bucket. Not thread-safe.
+/// Keeps `bucket_count` buckets, adds to the newest one and drops the oldest one as time advances. The window
+/// covers between `bucket_count - 1` and `bucket_count` bucket widths. Every call takes the current time; a
+/// time before that of an earlier call uses the newest bucket of that call. Not thread-safe.
 template <int bucket_count>
 class SlidingWindow {
    public:
@@ -36,7 +36,7 @@
         newest() += amount;
     }
 
-    /// Raises the newest bucket to `amount`, where it is lower.
+    /// Raises the newest bucket to `amount` if it is lower.
     void raise_to(TimePoint now, double amount) {
         advance(now);
         newest() = std::max(newest(), amount);
@@ -47,17 +47,17 @@
         return std::accumulate(state_.buckets.begin(), state_.buckets.end(), 0.0);
     }
 
-    /// The largest single bucket.
+    /// Returns the value of the largest bucket.
     [[nodiscard]] double max_bucket(TimePoint now) {
         advance(now);
         return *std::max_element(state_.buckets.begin(), state_.buckets.end());
     }
 
-    /// Empties every bucket.
+    /// Sets every bucket to zero.
     void clear() { state_.buckets.fill(0); }
 
    private:
-    // Also for times before the clock's zero.
+    // Works for negative bucket numbers too, which are times before the clock's zero.
     static size_t ring_index(int64_t bucket) {
         return static_cast<size_t>(((bucket % bucket_count) + bucket_count) % bucket_count);
     }
--- a/tests/base/test_base.cpp
+++ b/tests/base/test_base.cpp
@@ -1,6 +1,6 @@
 #include "policy_helpers.h"
 
-TEST(Base, SlidingWindowForgetsWhatIsOld) {
+TEST(Base, SlidingWindowDropsOldBuckets) {
     SlidingWindow<4> window(seconds(1));
     window.add(TimePoint{0}, 3);
     window.add(TimePoint{2'500'000'000}, 4);
@@ -10,7 +10,7 @@
     EXPECT_EQ(window.sum(TimePoint{60'000'000'000}), 0);
 }
 
-TEST(Base, ChanceFollowsTheSeedAlone) {
+TEST(Base, RandomNumbersDependOnlyOnTheSeed) {
     Pcg32 a(7), b(7), c(8);
     bool differs = false;
     for (int k = 0; k < 100; ++k) {
@@ -21,7 +21,7 @@
     EXPECT_TRUE(differs);
 }
 
-TEST(Base, SlidingWindowKeepsTheHighestOfABucket) {
+TEST(Base, SlidingWindowKeepsTheLargestValueRaisedTo) {
     SlidingWindow<2> window(seconds(1));
     window.raise_to(TimePoint{0}, 3);
     window.raise_to(TimePoint{1}, 2);
@@ -30,7 +30,7 @@
     EXPECT_EQ(window.sum(TimePoint{2}), 0);
 }
 
-// Other balancers, and captures of years ago, rely on these very numbers.
+// Other balancers and old captures depend on these exact numbers.
 TEST(Base, HashAndGeneratorAreTheSameInEveryBuild) {
     static_assert(hash_of("") == (1469598103934665603ULL ^ 1469598103934665603ULL >> 29));
     Pcg32 generator(42, 54);
--- a/tests/base/test_server_index.cpp
+++ b/tests/base/test_server_index.cpp
@@ -1,4 +1,4 @@
-// The index of a server at this balancer.
+// Tests ServerIndex, the index of a server at this balancer.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 using namespace headrouter;
 
-TEST(ServerIndex, IsMadeFromANumberOnlyWhereThatIsWritten) {
+TEST(ServerIndex, ConvertsToAndFromIntegersOnlyExplicitly) {
     static_assert(!std::is_convertible_v<int, ServerIndex> && !std::is_convertible_v<ServerIndex, int>);
     static_assert(!std::is_convertible_v<size_t, ServerIndex> && !std::is_convertible_v<ServerIndex, size_t>);
     EXPECT_EQ(ServerIndex{7}.value(), 7u);
@@ -18,7 +18,7 @@
     EXPECT_EQ(sizeof(ServerIndex), 4u);
 }
 
-TEST(ServerIndex, IsComparedAndHashedByItsNumber) {
+TEST(ServerIndex, ComparesAndHashesByNumber) {
     EXPECT_EQ(ServerIndex{3}, ServerIndex{size_t{3}});
     EXPECT_LT(ServerIndex{3}, ServerIndex{4});
     const std::unordered_set<ServerIndex> servers{ServerIndex{3}, ServerIndex{4}, ServerIndex{3}};
@@ -31,7 +31,7 @@
     EXPECT_NE(ServerIndex{-1}, none);
 }
 
-TEST(ServerIndexRange, NamesTheFirstSoManyInOrder) {
+TEST(ServerIndexRange, IteratesOverTheFirstIndexesInOrder) {
     std::vector<ServerIndex> seen;
     for (const ServerIndex server : ServerIndexRange{3}) seen.push_back(server);
     EXPECT_EQ(seen, (std::vector<ServerIndex>{ServerIndex{0}, ServerIndex{1}, ServerIndex{2}}));
