--- a/src/fleet_load/aggregator_election.cpp
+++ b/src/fleet_load/aggregator_election.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Duration epoch_time = seconds(32);
-/// A silent aggregator is replaced after so long.
-constexpr Duration answer_within = seconds(3.2);
-/// One that has answered before is waited for longer: where many datagrams are lost, two headroom messages in
-/// a row often are, and a fleet that scatters over many aggregators pools nothing.
-constexpr Duration next_answer_within = seconds(7.5);
-/// More candidates than an epoch ever has.
+/// An aggregator that has not answered yet is replaced after this time.
+constexpr Duration first_answer_timeout = seconds(3.2);
+/// An aggregator that has answered before gets more time: on links that lose many datagrams, two consecutive
+/// headroom messages are often lost, and a fleet scattered over many aggregators does not pool its loads.
+constexpr Duration next_answer_timeout = seconds(7.5);
+/// Seeds reserved for each epoch, one for each candidate; no epoch has as many candidates.
 constexpr uint64_t candidates_per_epoch = 4096;
-/// In place of an epoch before the first.
+/// Stands in for the epoch before the first epoch begins.
 constexpr int64_t no_epoch = -1;
 
 }  // namespace
@@ -32,10 +32,10 @@
 }
 
 bool AggregatorElection::replace_silent(TimePoint now, TimePoint headroom_at) {
-    const Duration patience = has_answered(headroom_at) ? next_answer_within : answer_within;
-    if (now - std::max(state_.since, headroom_at) <= patience) return false;
+    const Duration timeout = has_answered(headroom_at) ? next_answer_timeout : first_answer_timeout;
+    if (now - std::max(state_.since, headroom_at) <= timeout) return false;
     ++state_.candidate;
-    if (state_.candidate > state_.last_candidate) {  // the first ones again, as they may be back by now
+    if (state_.candidate > state_.last_candidate) {  // starts over: the first candidates may have recovered
         ++state_.last_candidate;
         state_.candidate = 0;
     }
@@ -43,7 +43,8 @@
     return true;
 }
 
-// Drawn, not counted up: neighbours by index often are down, or cut off, together.
+// Draws the candidate at random instead of counting up: replicas with adjacent indexes often fail, or become
+// unreachable, together.
 int AggregatorElection::aggregator(int replica_count) const {
     const auto epoch = static_cast<uint64_t>(state_.epoch.value_or(no_epoch));
     const uint64_t seed = epoch * candidates_per_epoch + static_cast<uint64_t>(state_.candidate);
--- a/src/fleet_load/fleet_load_aggregator.cpp
+++ b/src/fleet_load/fleet_load_aggregator.cpp
@@ -15,21 +15,22 @@
 
 namespace {
 
-/// A report that has not changed is repeated after so long, against loss.
-constexpr Duration repeat_after = seconds(7);
-/// The same until the aggregator has answered, and for a while after a loss was seen: the extra bytes are for
-/// the links that need them.
-constexpr Duration repeat_unanswered_after = seconds(1);
-constexpr Duration loss_remembered = seconds(10);
-/// More ticks than this between two headroom messages: one in between was lost.
+/// Interval at which an unchanged report is repeated, in case the last one was lost.
+constexpr Duration report_repeat_interval = seconds(7);
+/// Shorter interval, in use until the aggregator has answered and for `loss_memory_time` after a loss was
+/// detected: only links that lose messages cost the extra bytes.
+constexpr Duration lossy_report_repeat_interval = seconds(1);
+constexpr Duration loss_memory_time = seconds(10);
+/// A larger gap between the timestamps of two headroom messages means that one in between was lost.
 constexpr uint32_t max_ticks_between_headroom = 10;
-/// Headroom that does not come for so many rounds was lost.
+/// A headroom message that has not arrived after this many rounds was lost.
 constexpr double max_rounds_between_headroom = 1.5;
-/// A tick that comes so late means that this process was suspended: what it knows of the others is as old.
-constexpr Duration suspended_after = seconds(2);
-/// Loads that differ by less count as the same.
+/// A longer gap between ticks means that this process was suspended, so its data from other balancers is as
+/// old.
+constexpr Duration suspension_threshold = seconds(2);
+/// Loads that differ by less are treated as equal, in mean load units.
 constexpr double load_tolerance = 0.1;
-/// Weights go into the list's checksum in steps of a sixteenth.
+/// The list's checksum includes weights rounded to a sixteenth.
 constexpr double checksum_weight_steps = 16;
 constexpr int short_id_bits = 12;
 
@@ -49,10 +50,10 @@
 }
 
 bool FleetLoadAggregator::was_suspended(TimePoint now) const {
-    return state_.ticked_at.ns > 0 && now - state_.ticked_at > suspended_after;
+    return state_.ticked_at.ns > 0 && now - state_.ticked_at > suspension_threshold;
 }
 
-// Weights are part of it: with others, the same headroom would mean another share.
+// The checksum includes weights, as the same headroom with other weights would mean other shares.
 uint32_t FleetLoadAggregator::list_checksum() const {
     uint64_t hash = state_.servers.size();
     for (const EligibleServer& server : state_.servers) {
@@ -89,12 +90,12 @@
     state_.servers = servers;
     std::sort(state_.servers.begin(), state_.servers.end(),
               [](const EligibleServer& a, const EligibleServer& b) { return a.short_id < b.short_id; });
-    // The checksum has few bits: a list that has grown may have the same one.
+    // The checksum has only 6 bits, so a list that has grown may have the same checksum as before.
     const bool is_outgrown = state_.headroom.size() < state_.servers.size();
     if (is_outgrown || list_checksum() != checksum_before) state_.headroom.clear();
 }
 
-// A new aggregator is reported to at once.
+// Clearing `reported_at` makes the next report due at once, so that a new aggregator gets one.
 void FleetLoadAggregator::update_aggregator(TimePoint now, TimePoint wall_time) {
     if (state_.election.begin_epoch(now, wall_time)) {
         state_.reported_at = TimePoint{};
@@ -120,9 +121,10 @@
     const bool changed =
         !std::equal(rows.begin(), rows.end(), state_.reported.begin(), state_.reported.end(), is_same_load);
     if (changed || state_.reported_at.ns <= 0) return true;
-    const bool saw_loss = state_.loss_at.ns != 0 && now - state_.loss_at <= loss_remembered;
-    const bool is_link_sound = has_answered() && !saw_loss;
-    return now - state_.reported_at >= (is_link_sound ? repeat_after : repeat_unanswered_after);
+    const bool saw_loss = state_.loss_at.ns != 0 && now - state_.loss_at <= loss_memory_time;
+    const bool is_link_reliable = has_answered() && !saw_loss;
+    return now - state_.reported_at >=
+           (is_link_reliable ? report_repeat_interval : lossy_report_repeat_interval);
 }
 
 void FleetLoadAggregator::report(TimePoint now, const std::vector<IndexedLoad>& own_loads,
@@ -137,7 +139,7 @@
         out.push_back({to, std::move(bytes)});
         return;
     }
-    // The own report takes the same way as the others', so that it is rounded like them.
+    // The own report is encoded and parsed like those of other replicas, so that it is rounded alike.
     if (const auto message = gossip::parse_message(bytes)) on_message(now, state_.replica_index, *message);
 }
 
@@ -156,7 +158,7 @@
         const TimePoint last_at = state_.headroom.received_at();
         if (!is_newer(message.timestamp, state_.headroom.timestamp(), now, last_at)) return;
         const uint32_t ticks = ticks_between(state_.headroom.timestamp(), message.timestamp);
-        if (ticks > max_ticks_between_headroom && now - last_at < forget_after) state_.loss_at = now;
+        if (ticks > max_ticks_between_headroom && now - last_at < message_lifetime) state_.loss_at = now;
     }
     state_.headroom.accept(now, from, message.timestamp, message.headroom, state_.servers.size());
 }
--- a/src/fleet_load/fleet_load_aggregator.h
+++ b/src/fleet_load/fleet_load_aggregator.h
@@ -1,13 +1,16 @@
-/// How many balancers, each of which sees a handful of connections, fill one fleet of servers evenly.
+/// Pools the loads of many balancers, each with only a handful of connections, so that together they load the
+/// servers evenly.
 ///
-/// Each balancer reports its loads, when they change, to one of them, the aggregator. The aggregator answers
-/// all who report to it with each server's headroom: how much of the next connections the server should get.
-/// The aggregator is the first that answers in an order drawn from the wall clock, which changes with each
-/// epoch. A balancer that gets no answer for a while turns to the next one, so that any part of the fleet
-/// that can exchange messages pools among itself. docs/fleet-load.md says why it is done in this way.
+/// Each balancer reports its loads, when they change, to one of the balancers, the aggregator. The aggregator
+/// sends all its reporters each server's headroom: how much of the next connections the server should get.
+/// The aggregator is the first balancer that answers, in a random order seeded by the wall clock; the order
+/// changes with each epoch. A balancer that gets no answer for a while advances to the next candidate, so
+/// that any part of the fleet that can exchange messages pools its loads. docs/fleet-load.md gives the
+/// reasons for this design.
 ///
-/// Nothing is sent, timed or placed here. Points in time are on the policy's clock; `wall_time` is on the
-/// clock that all balancers share. A wrong wall clock does no harm: that balancer pools with others.
+/// This module sends no datagrams, sets no timers and places no requests. Points in time are on the policy's
+/// clock; `wall_time` is on the clock that all balancers share. A balancer whose wall clock is wrong causes
+/// no harm: it pools with other balancers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -26,12 +29,14 @@
 
 namespace headrouter::fleet_load {
 
+/// Holds a message to send.
 struct OutgoingMessage {
-    int replica_index;  ///< of the balancer that it goes to
+    int replica_index;  ///< of the receiving balancer
     std::string bytes;
 };
 
-/// One balancer's part in it: reporter, and aggregator for those that report to it. Not thread-safe.
+/// Implements one balancer's roles: it reports its loads, and aggregates those of the balancers that report
+/// to it. Not thread-safe.
 class FleetLoadAggregator {
    public:
     struct State {
@@ -44,7 +49,7 @@
         uint32_t timestamp = 0;  ///< of the latest tick
         TimePoint ticked_at;
         TimePoint reported_at;
-        TimePoint loss_at;                         ///< when a message was last seen to be lost
+        TimePoint loss_at;                         ///< when a lost message was last detected
         std::vector<gossip::ServerLoad> reported;  ///< the latest report
 
         HeadroomCalculator calculator;  ///< as an aggregator
@@ -54,29 +59,31 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// How often `tick` is to be called.
+    /// Interval at which `tick` must be called.
     static constexpr Duration tick_interval = millis(250);
 
-    /// Sets this balancer's own index among so many; fewer than two: there is nobody to pool with.
+    /// Sets this balancer's index and the number of replicas; with fewer than two, nothing is pooled.
     void set_replica(int replica_index, int replica_count);
 
-    /// Returns what is to be sent now. `own_loads` has a row for each server with a load, `degraded_marker`
-    /// for one found slow or failing; `servers` are all that the own list has, with a short id each of its
-    /// own.
+    /// Returns the messages to send now. `own_loads` has a row for each server with a load, `degraded_marker`
+    /// for one found slow or failing; `servers` has every server of this balancer's list, each with a unique
+    /// short id.
     [[nodiscard]] std::vector<OutgoingMessage> tick(TimePoint now, TimePoint wall_time,
                                                     const std::vector<gossip::IndexedLoad>& own_loads,
                                                     const std::vector<EligibleServer>& servers);
 
-    /// Takes a load report, or a headroom message; the latter only from this balancer's aggregator and for
-    /// the list of servers that it has.
+    /// Handles a load report or a headroom message. Ignores headroom that is not from this balancer's
+    /// aggregator or not for its server list.
     void on_message(TimePoint now, int from, const gossip::Message& message);
 
-    /// The server that the next connection should go to, by the loads of all balancers. Nothing where the
-    /// balancer's own share is to decide: without fresh headroom, and where it is used up
-    /// (ReceivedHeadroom::is_used_up). `random` lies between 0 and 1.
+    /// Returns the server for the next connection according to the loads of all balancers. Returns nullopt if
+    /// the balancer's own share must decide: without fresh headroom, when the headroom is used up
+    /// (ReceivedHeadroom::is_used_up), or when it leaves this connection to the own share
+    /// (ReceivedHeadroom::pick). `random` is between 0 and 1; as freshness falls, fewer values use the
+    /// headroom.
     [[nodiscard]] std::optional<ServerIndex> pick(TimePoint now, double random);
 
-    /// The weight that the headroom deserves: 1 while it is fresh, falling to 0.
+    /// Returns the weight to give the headroom: 1 while it is fresh, then falling to 0.
     [[nodiscard]] double freshness(TimePoint now) const;
 
    private:
--- a/src/fleet_load/headroom_calculator.cpp
+++ b/src/fleet_load/headroom_calculator.cpp
@@ -12,25 +12,29 @@
 
 namespace {
 
-/// From when there are enough reporters to the first headroom, so that it is of all and not of the earliest.
+/// Delay from enough reporters to the first headroom, so that it covers all reporters and not only the
+/// earliest.
 constexpr Duration gather_time = millis(600);
-/// Two others and this one: what a single balancer reports moves nobody.
+/// Reporters needed for headroom: two others and this one, so that no single balancer's report decides the
+/// headroom.
 constexpr int min_reporters = 3;
-/// A server that so many found slow or failing gets nothing more, unless more than this part of the fleet is.
+/// A server that this many reporters found slow or failing gets no headroom, unless more than
+/// `max_degraded_fraction` of the fleet is degraded.
 constexpr int min_degraded_reports = 2;
 constexpr double max_degraded_fraction = 0.25;
-/// A load that is not reported (of a degraded server), in mean load units.
+/// Load assumed for a degraded server, whose report carries no load; in mean load units.
 constexpr double degraded_load = 1;
-/// One report counts at the most so many connections as new at a server.
+/// Most new connections at a server that one report may add to the arrivals.
 constexpr double max_arrivals_per_row = 4;
-/// Beyond twice the second largest report of a server and so much, the largest one is not believed.
+/// A server's largest report is cut to twice the second largest plus this, in mean load units.
 constexpr double outlier_slack = 2;
-/// Where hardly anything comes, a fraction of a connection too few or too many does not matter.
+/// Floor for a server's expected arrivals: at low traffic, a fraction of a connection too few or too many is
+/// negligible.
 constexpr double min_expected_arrivals = 0.5;
-/// Arrivals are counted over so many seconds, which their window holds.
+/// Bounds of the time over which arrivals are counted; the window holds that many seconds.
 constexpr double least_counted_seconds = 1;
 constexpr double most_counted_seconds = 4;
-/// Keeps quotients finite where no server has a weight.
+/// Smallest divisor: keeps quotients finite if no server has a weight.
 constexpr double least_weight = 1e-9;
 
 double load_in_report(const std::vector<ServerLoad>& loads, gossip::ShortServerId server) {
@@ -41,7 +45,7 @@
 
 }  // namespace
 
-/// A server's load over all reporters.
+/// Sums a server's load over all reporters.
 struct HeadroomCalculator::ServerTotal {
     double sum = 0;
     double largest = 0;
@@ -56,8 +60,8 @@
         second_largest = std::max(second_largest, std::min(largest, load));
         largest = std::max(largest, load);
     }
-    /// The largest report counts for little more than the second, so that one false report makes no server
-    /// look full.
+    /// Cuts the largest report to twice the second largest plus `outlier_slack`, so that one false report
+    /// cannot make a server look full.
     void discount_outlier() { sum -= std::max(0.0, largest - 2 * second_largest - outlier_slack); }
     [[nodiscard]] bool is_degraded() const { return degraded_reports >= min_degraded_reports; }
 };
@@ -68,7 +72,7 @@
 };
 
 bool HeadroomCalculator::Reporter::is_current(TimePoint now) const {
-    return received_at.ns > 0 && now - received_at <= forget_after;
+    return received_at.ns > 0 && now - received_at <= message_lifetime;
 }
 
 void HeadroomCalculator::begin_epoch() {
@@ -82,8 +86,9 @@
     Reporter& reporter = state_.reporters[static_cast<size_t>(from)];
     const bool is_first = reporter.received_at.ns <= 0;
     if (!is_first && !is_newer(message.timestamp, reporter.timestamp, now, reporter.received_at)) return;
-    // Of one not heard before, or not for long, nothing is known to be new.
-    if (!is_first && now - reporter.received_at < forget_after) count_arrivals(now, reporter, message.loads);
+    // Without a recent earlier report to compare with, no load of this one is known to be new.
+    if (!is_first && now - reporter.received_at < message_lifetime)
+        count_arrivals(now, reporter, message.loads);
     reporter.received_at = now;
     reporter.timestamp = message.timestamp;
     reporter.loads = message.loads;
@@ -140,8 +145,8 @@
     return state_.arrivals.sum(now) / counted_seconds * to_seconds(round_time);
 }
 
-// Of each server, what it should get of the connections of the next round: its share by weight, and what its
-// load lacks to the mean.
+// Returns what each server should get of the next round's connections, in multiples of its share by weight:
+// that share plus the deficit of its load against the mean.
 std::vector<int> HeadroomCalculator::headroom_for(TimePoint now, const FleetTotals& totals,
                                                   const std::vector<EligibleServer>& servers) {
     double fleet_load = 0;
@@ -157,12 +162,12 @@
     const double arrivals = arrivals_per_round(now);
 
     std::vector<int> headroom;
-    double rounding = 0;  // carried from server to server, so that the rounded parts add up
+    double rounding = 0;  // error carried from server to server, so that the rounded values keep the sum
     for (const EligibleServer& server : servers) {
         const ServerTotal& total = totals.servers.at(server.short_id);
         const double share = server.weight / std::max(fleet_weight, least_weight);
-        const double lacking = fleet_load * share - total.sum;
-        const double wanted = 1 + lacking / std::max(arrivals * share, min_expected_arrivals);
+        const double deficit = fleet_load * share - total.sum;
+        const double wanted = 1 + deficit / std::max(arrivals * share, min_expected_arrivals);
         const bool is_avoided = avoids_degraded && total.is_degraded();
         const double exact = is_avoided ? 0 : std::clamp(wanted, 0.0, 1.0 * gossip::max_headroom);
         const int rounded =
--- a/src/fleet_load/headroom_calculator.h
+++ b/src/fleet_load/headroom_calculator.h
@@ -1,4 +1,4 @@
-/// The aggregator's part: from the reports of many balancers to each server's headroom.
+/// Computes each server's headroom from the reports of many balancers; the aggregator's part.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,38 +16,39 @@
 /// load units. Not thread-safe.
 class HeadroomCalculator {
    public:
-    /// A balancer that reports its loads to this one.
+    /// Holds the latest report of a balancer that reports its loads to this one.
     struct Reporter {
-        TimePoint received_at;  ///< of the latest report; zero before the first
+        TimePoint received_at;  ///< when the latest report arrived; zero before the first
         uint32_t timestamp = 0;
         std::vector<gossip::ServerLoad> loads;
 
-        /// Whether its latest report still counts.
+        /// Returns whether its latest report is recent enough to count.
         [[nodiscard]] bool is_current(TimePoint now) const;
     };
 
     struct State {
         std::vector<Reporter> reporters;        ///< by replica index
-        SlidingWindow<4> arrivals{seconds(1)};  ///< connections that came up at all reporters
+        SlidingWindow<4> arrivals{seconds(1)};  ///< new connections at all reporters
         TimePoint computed_at;
-        TimePoint enough_reporters_at;  ///< zero while there are too few
+        TimePoint enough_reporters_at;  ///< when there were first enough; zero while there are too few
     };
 
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// The reports that were received no longer count.
+    /// Discards all received reports.
     void forget_reports() { state_.reporters.clear(); }
-    /// A new epoch: reports are gathered anew, as who has this balancer for its aggregator reports again.
+    /// Discards all reports at the start of an epoch, as the balancers whose aggregator this one is report
+    /// again.
     void begin_epoch();
-    /// Takes the load report of a replica, one of so many, unless it is older than the last.
+    /// Stores the load report of replica `from`, one of `replica_count`, if it is newer than the last one.
     void on_load_report(TimePoint now, int from, int replica_count, const gossip::Message&);
 
-    /// Each server's headroom, in the order of `servers`, where a round is over and enough balancers have
-    /// reported.
+    /// Returns each server's headroom, in the order of `servers`; nullopt until a round has elapsed and
+    /// enough balancers have reported.
     [[nodiscard]] std::optional<std::vector<int>> compute(TimePoint now, int replica_count,
                                                           const std::vector<EligibleServer>& servers);
-    /// The replica indexes of those whose latest report still counts.
+    /// Returns the replica indexes of the balancers whose latest report is recent enough to count.
     [[nodiscard]] std::vector<int> current_reporters(TimePoint now) const;
 
    private:
@@ -56,10 +57,11 @@
 
     void count_arrivals(TimePoint now, const Reporter&, const std::vector<gossip::ServerLoad>&);
     FleetTotals sum_reports(TimePoint now) const;
-    /// Whether so many have reported for long enough that the sum is of all, not of the earliest.
+    /// Returns whether enough balancers have been reporting for long enough that the sum covers all
+    /// reporters, not only the earliest.
     bool has_gathered(TimePoint now, int reporters, int replica_count);
     std::vector<int> headroom_for(TimePoint now, const FleetTotals&, const std::vector<EligibleServer>&);
-    /// Connections that come up at all reporters within a round, as they did lately.
+    /// Returns the new connections to expect at all reporters within a round, from recent arrivals.
     double arrivals_per_round(TimePoint now);
 
     State state_;
--- a/src/fleet_load/message_order.h
+++ b/src/fleet_load/message_order.h
@@ -1,4 +1,4 @@
-/// How balancers that pool their loads tell new messages from old ones.
+/// Orders the load pooling messages of a sender by timestamp, to ignore old ones.
 #pragma once
 #include <cstdint>
 
@@ -6,18 +6,20 @@
 
 namespace headrouter::fleet_load {
 
-/// How often headroom is sent. Half of it is its age on average, which bounds how even the fleet can be
-/// (docs/fleet-load.md has the curve); each message costs its bytes at every balancer.
+/// Interval between headroom messages. Headroom is on average half an interval old, and this age limits how
+/// even the fleet can be (docs/fleet-load.md has the curve); each message costs its bytes at every balancer.
 constexpr Duration round_time = millis(1750);
 
-/// What another balancer said longer ago no longer counts.
-constexpr Duration forget_after = seconds(16);
+/// Age beyond which messages of other balancers no longer count.
+constexpr Duration message_lifetime = seconds(16);
 
-/// Timestamps are the sender's wall clock in ticks, modulo gossip::timestamp_modulus.
+/// Returns the ticks from one timestamp to another. Timestamps are the sender's wall clock in ticks, modulo
+/// gossip::timestamp_modulus.
 uint32_t ticks_between(uint32_t earlier, uint32_t later);
 
-/// Whether a message is newer than the last one of its sender, which came at `last_at`. Late, doubled and
-/// reordered ones are not; after a long gap any is.
+/// Returns whether a message is newer than its sender's last one, which arrived at `last_at`. Late,
+/// duplicated and reordered messages are not newer; after a gap longer than `message_lifetime`, any message
+/// is.
 bool is_newer(uint32_t timestamp, uint32_t last_timestamp, TimePoint now, TimePoint last_at);
 
 }  // namespace headrouter::fleet_load
--- a/src/fleet_load/mix_bits.h
+++ b/src/fleet_load/mix_bits.h
@@ -1,4 +1,4 @@
-/// A hash of numbers that all balancers share.
+/// Hashes numbers, with equal results at every balancer.
 #pragma once
 #include <cstdint>
 
--- a/src/fleet_load/received_headroom.cpp
+++ b/src/fleet_load/received_headroom.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Headroom counts in full for so many rounds, and not at all after so many.
+/// Age in rounds up to which headroom counts in full, and from which it does not count at all.
 constexpr double rounds_fresh = 2;
 constexpr double rounds_until_stale = 4;
-/// How fast the usual number of picks follows.
+/// Weight of the latest number of picks in the moving average `usually_picked`.
 constexpr double usual_gain = 0.2;
-/// The steps of two sequences that together fill a square evenly (of the plastic number; Roberts, 2018): one
-/// moves with the headroom's timestamp, the other with each pick.
+/// Steps of a two-dimensional low-discrepancy sequence (based on the plastic number; Roberts, 2018): one
+/// advances with the headroom's timestamp, the other with each pick.
 constexpr double timestamp_step = 0.7548776662466927;
 constexpr double pick_step = 0.5698402909980532;
 
@@ -50,8 +50,9 @@
         all_weight += servers[k].weight;
         all_headroom += servers[k].weight * state_.headroom[k];
     }
-    // What the headroom leaves of all weight is the own share's to place: an aggregator that falsely gives
-    // headroom to one server only moves to it no more than max_headroom times its share.
+    // The part of the total weight that the headroom does not cover is left to the balancer's own share. An
+    // aggregator that falsely gives headroom to a single server so directs to it at most max_headroom times
+    // its share.
     const double place =
         fraction_of(replica_place + state_.timestamp * timestamp_step + state_.picked * pick_step);
     ++state_.picked;
--- a/src/fleet_load/rendezvous_ranking.h
+++ b/src/fleet_load/rendezvous_ranking.h
@@ -1,4 +1,4 @@
-/// Weighted rendezvous hashing: every balancer ranks the servers alike for the same key.
+/// Ranks servers by weighted rendezvous hashing: every balancer gets the same ranking for the same key.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -8,17 +8,17 @@
 
 namespace headrouter::fleet_load {
 
-/// The servers as one key prefers them.
+/// Holds the ranking of the servers for one key.
 struct RendezvousRanking {
-    /// By server index: an exponential draw over the server's weight; the lowest is preferred.
+    /// By server index: an exponential draw divided by the server's weight; the lowest is preferred.
     std::vector<double> scores;
-    std::vector<ServerIndex> order;  ///< by rising score
+    std::vector<ServerIndex> order;  ///< by ascending score
 
     [[nodiscard]] double score_of(ServerIndex server) const { return scores[server.value()]; }
 };
 
-/// Extends a ranking, which may be empty, to all of `servers`; scores it has already stay as they are. The
-/// key comes as its hash.
+/// Extends a ranking, which may be empty, to all of `servers`; existing scores stay unchanged. `key_hash` is
+/// the hash of the key.
 void extend_ranking(RendezvousRanking& ranking, uint64_t key_hash,
                     const std::vector<WeightedServer>& servers);
 
--- a/src/fleet_load/subset_order.cpp
+++ b/src/fleet_load/subset_order.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// The fraction of the golden ratio.
+/// Fractional part of the golden ratio.
 constexpr double golden_step = 0.6180339887498949;
 
-/// After so many steps for each server, those not met yet are of next to no weight: they come last.
+/// Steps for each server after which the walk ends. Servers not visited by then have almost no weight and
+/// come last.
 constexpr size_t max_steps_per_server = 16;
 
-/// The active servers in the order in which they lie on the circle.
+/// Returns the active servers in the order of their arcs on the circle.
 std::vector<size_t> circle_order(const std::vector<WeightedServer>& servers) {
     std::vector<size_t> order;
     for (size_t k = 0; k < servers.size(); ++k)
@@ -26,7 +27,7 @@
     return order;
 }
 
-/// Where each server's arc ends, in the order given.
+/// Returns the end of each server's arc, in the order given.
 std::vector<double> arc_ends(const std::vector<WeightedServer>& servers, const std::vector<size_t>& order) {
     std::vector<double> ends;
     double end = 0;
@@ -37,41 +38,41 @@
     return ends;
 }
 
-/// Gives each server the threshold of the step at which it is first met.
+/// Gives each server the threshold of the step that first visits its arc.
 class CircleWalk {
    public:
     CircleWalk(const std::vector<WeightedServer>& servers, std::vector<double> thresholds)
         : servers_(servers),
           order_(circle_order(servers)),
           ends_(arc_ends(servers, order_)),
-          was_met_(servers.size()),
+          was_visited_(servers.size()),
           thresholds_(std::move(thresholds)) {}
 
-    /// Walks from `entry`, a place on the circle between 0 and 1.
+    /// Walks from `entry`, a position on the circle between 0 and 1, and returns the thresholds.
     std::vector<double> walk_from(double entry) && {
         const auto max_steps = static_cast<double>(order_.size() * max_steps_per_server);
-        size_t unmet = order_.size();
+        size_t unvisited = order_.size();
         double steps = 0;
-        for (; unmet > 0 && steps < max_steps; ++steps)
-            if (meet(server_at(std::fmod(entry + steps * golden_step, 1.0)), steps)) --unmet;
+        for (; unvisited > 0 && steps < max_steps; ++steps)
+            if (visit(server_at(std::fmod(entry + steps * golden_step, 1.0)), steps)) --unvisited;
         for (const size_t server : order_)
-            if (meet(server, steps)) ++steps;
+            if (visit(server, steps)) ++steps;
         return std::move(thresholds_);
     }
 
    private:
     [[nodiscard]] double circumference() const { return ends_.empty() ? 0 : ends_.back(); }
 
-    [[nodiscard]] size_t server_at(double place) const {
-        const auto arc = std::upper_bound(ends_.begin(), ends_.end(), place * circumference());
+    [[nodiscard]] size_t server_at(double position) const {
+        const auto arc = std::upper_bound(ends_.begin(), ends_.end(), position * circumference());
         const auto index = static_cast<size_t>(arc - ends_.begin());
         return order_[std::min(order_.size() - 1, index)];
     }
 
-    /// False where the server was met before.
-    bool meet(size_t server, double step) {
-        if (was_met_[server]) return false;
-        was_met_[server] = true;
+    /// Sets the server's threshold; returns false if the server was visited before.
+    bool visit(size_t server, double step) {
+        if (was_visited_[server]) return false;
+        was_visited_[server] = true;
         thresholds_[server] = (step + 0.5) * servers_[server].weight / circumference();
         return true;
     }
@@ -79,7 +80,7 @@
     const std::vector<WeightedServer>& servers_;
     std::vector<size_t> order_;
     std::vector<double> ends_;
-    std::vector<bool> was_met_;
+    std::vector<bool> was_visited_;
     std::vector<double> thresholds_;
 };
 
@@ -97,7 +98,7 @@
 std::vector<double> subset_thresholds(uint64_t replica_index, int replica_count,
                                       const std::vector<WeightedServer>& servers) {
     const double entry = (static_cast<double>(replica_index) + 0.5) / std::max(1, replica_count);
-    // Servers that are not active keep the independent draw.
+    // Inactive servers keep the threshold of the independent draw.
     return CircleWalk(servers, independent_thresholds(replica_index, servers)).walk_from(entry);
 }
 
--- a/src/fleet_load/subset_order.h
+++ b/src/fleet_load/subset_order.h
@@ -1,31 +1,32 @@
-/// Deterministic subsetting: the order in which each of many balancers uses the servers, so that the sum over
-/// all is even though none sends another a message.
+/// Deterministic subsetting: orders the servers for each of many balancers so that the load summed over all
+/// balancers is even, although they exchange no messages.
 ///
-/// All servers lie on one circle, each with an arc as long as its weight. Each balancer enters the circle at
-/// a place of its own and goes round in steps of the golden ratio (a Kronecker sequence; Niederreiter, Random
-/// Number Generation and Quasi-Monte Carlo Methods, 1992). The n-th steps of all balancers lie as evenly as
-/// the first ones, so their sum is more even than that of independent draws.
+/// Every server has an arc of one circle, as long as its weight. Each balancer enters the circle at its own
+/// position and advances in steps of the golden ratio (a Kronecker sequence; Niederreiter, Random Number
+/// Generation and Quasi-Monte Carlo Methods, 1992). The n-th steps of all balancers are spread as evenly as
+/// the first ones, so the summed load is more even than with independent draws.
 #pragma once
 #include <cstdint>
 #include <vector>
 
 namespace headrouter::fleet_load {
 
+/// Describes a server by what its position and arc on the circle depend on.
 struct WeightedServer {
-    uint64_t hash;   ///< of the server's id: the same order at every balancer
-    double weight;   ///< over zero
+    uint64_t hash;   ///< of the server's id, so that every balancer has the same order
+    double weight;   ///< greater than zero
     bool is_active;  ///< only active servers have an arc of the circle
 };
 
-/// For each server, the part of a connection that is counted against the balancer's share of it: the server
-/// takes a connection while its load and that part stay within the share. With n connections in all these are
-/// the servers of the first n steps. `replica_index` lies below
-/// `replica_count`.
+/// Returns each server's threshold: the part of a connection that is added to the server's load before the
+/// load is compared with the balancer's share of the server. The server takes a connection while the sum is
+/// within the share, so a balancer with n connections uses the servers of the first n steps. `replica_index`
+/// is less than `replica_count`.
 [[nodiscard]] std::vector<double> subset_thresholds(uint64_t replica_index, int replica_count,
                                                     const std::vector<WeightedServer>& servers);
 
-/// The same where balancers do not know how many they are: independent draws, exponential with mean 1, from a
-/// hash of the own index and the server's.
+/// Returns thresholds for balancers that do not know how many they are: independent exponential draws with
+/// mean 1, from a hash of the balancer's own index and the server's hash.
 [[nodiscard]] std::vector<double> independent_thresholds(uint64_t replica_index,
                                                          const std::vector<WeightedServer>& servers);
 
--- a/tests/fleet_load/test_fleet_load_aggregator.cpp
+++ b/tests/fleet_load/test_fleet_load_aggregator.cpp
@@ -1,5 +1,5 @@
-/// Headroom aggregated over many replicas, message by message, without a socket: what each of them learns,
-/// and how little one that reports falsely, is suspended or partitioned can do.
+/// Tests load pooling over many replicas that exchange messages in memory: the headroom each replica gets,
+/// and the bounded effect of replicas that report falsely, are suspended or are partitioned.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Replicas that exchange messages through `link`, and the load that each of them has on each server.
+/// Simulates replicas that exchange messages through `link`, each with its own load on each server.
 struct Fleet {
     static constexpr int servers = 10;
     std::vector<FleetLoadAggregator> aggregators;
@@ -25,7 +25,7 @@
     std::vector<fleet_load::EligibleServer> endpoints;
     TimePoint now = TimePoint{} + seconds(1000);
     Duration wall_clock_offset{};
-    /// The bytes that arrive for a message; empty: it is lost.
+    /// Returns the bytes that arrive for a message; empty if the message is lost.
     std::function<std::string(int from, int to, const std::string&)> link =
         [](int, int, const std::string& bytes) { return bytes; };
     std::function<bool(int)> is_suspended = [](int) { return false; };
@@ -67,9 +67,9 @@
         const TimePoint end = now + duration;
         while (now < end) tick();
     }
-    /// Picks by server; the last element counts those without headroom, which the own share decides.
+    /// Number of picks by server; the last element counts connections that the replica's own share decides.
     using Picks = std::vector<int>;
-    /// Where the next `count_each` connections of some replicas would go, one a second each.
+    /// Counts the picks for the next `count_each` connections of some replicas, one a second each.
     Picks picks(const std::vector<int>& replicas, int count_each) {
         Picks sum(servers + 1);
         for (int k = 0; k < count_each; ++k) {
@@ -88,7 +88,7 @@
             replicas.push_back(replica);
         return picks(replicas, count_each);
     }
-    /// Connections come and go, placed by headroom, else at random.
+    /// Opens and closes connections; places each by headroom or, without headroom, at random.
     void run_with_traffic(Duration duration, Pcg32& random, double arrivals_per_tick) {
         const TimePoint end = now + duration;
         while (now < end) {
@@ -108,7 +108,7 @@
             }
         }
     }
-    /// Standard deviation over mean of the servers' loads.
+    /// Returns the standard deviation of the servers' loads divided by their mean.
     double variation() const {
         double sum = 0;
         double squares = 0;
@@ -122,7 +122,7 @@
     }
 };
 
-/// 40 replicas with four connections each: server 0 has none, server 1 twice its share.
+/// Returns 40 replicas with four connections each: server 0 has none, server 1 twice its share.
 Fleet make_uneven_fleet() {
     Fleet fleet(40);
     for (size_t replica = 0; replica < 40; ++replica)
@@ -135,29 +135,29 @@
 
 }  // namespace
 
-TEST(FleetLoadAggregator, MostPickTheServerWithTheMostHeadroomAndNonePickTheFullOne) {
+TEST(FleetLoadAggregator, PicksFavorTheServerWithMostHeadroomAndAvoidTheFullOne) {
     Fleet fleet = make_uneven_fleet();
     fleet.run_for(seconds(4));
     for (const FleetLoadAggregator& aggregator : fleet.aggregators)
         EXPECT_EQ(aggregator.freshness(fleet.now), 1);
-    const auto at = fleet.picks_of_all(10);  // about three times its share of 400, and no herd
+    const auto at = fleet.picks_of_all(10);  // server 0: about three times its share of 400, no more
     EXPECT_EQ(at[1], 0);
     EXPECT_GE(at[0], 90);
     EXPECT_LE(at[0], 140);
 }
 
-TEST(FleetLoadAggregator, LoadIsMoreEvenThanRandomAlsoWhenTwoInFiveMessagesAreLost) {
+TEST(FleetLoadAggregator, LoadIsMoreEvenThanRandomWhenTwoInFiveMessagesAreLost) {
     Pcg32 losses(3);
-    Fleet sound(60);
+    Fleet lossless(60);
     Fleet lossy(60);
-    Fleet mute(60);
+    Fleet disconnected(60);
     lossy.link = [&](int, int, const std::string& bytes) {
         return losses.uniform() < 0.4 ? std::string() : bytes;
     };
-    mute.link = [](int, int, const std::string&) { return std::string(); };
+    disconnected.link = [](int, int, const std::string&) { return std::string(); };
     double variations[3] = {0, 0, 0};
     Pcg32 traffic[3] = {Pcg32(5), Pcg32(5), Pcg32(5)};
-    Fleet* fleets[3] = {&sound, &lossy, &mute};
+    Fleet* fleets[3] = {&lossless, &lossy, &disconnected};
     for (int k = 0; k < 3; ++k) {
         fleets[k]->run_with_traffic(seconds(60), traffic[k], 2);
         for (int n = 0; n < 60; ++n) {
@@ -171,7 +171,7 @@
     EXPECT_GT(variations[2], 0.75 * random_variation);
 }
 
-TEST(FleetLoadAggregator, EachHalfOfAPartitionFindsAnAggregator) {
+TEST(FleetLoadAggregator, PartitionedFleetFindsAnAggregatorInEachHalf) {
     Fleet fleet = make_uneven_fleet();
     fleet.run_for(seconds(3));
     fleet.link = [](int from, int to, const std::string& bytes) {
@@ -184,11 +184,11 @@
     EXPECT_EQ(fresh, 40);
 }
 
-TEST(FleetLoadAggregator, WithoutMessagesTheOwnShareDecides) {
+TEST(FleetLoadAggregator, PickReturnsNothingWhenAllMessagesAreLost) {
     Fleet fleet = make_uneven_fleet();
     fleet.run_for(seconds(4));
     fleet.link = [](int, int, const std::string&) { return std::string(); };
-    fleet.run_for(seconds(26));  // the aggregator forgets last
+    fleet.run_for(seconds(26));  // the aggregator's own headroom expires last
     for (FleetLoadAggregator& aggregator : fleet.aggregators) {
         EXPECT_EQ(aggregator.freshness(fleet.now), 0);
         EXPECT_FALSE(aggregator.pick(fleet.now, 0.5));
@@ -201,7 +201,7 @@
     EXPECT_GE(two.aggregators[0].freshness(two.now), 0);
 }
 
-// Guards against one replica that directs all others: false load reports, then a false aggregator.
+// Guards against one replica steering all others: first by false load reports, then by false headroom.
 TEST(FleetLoadAggregator, FalseReportsAndFalseHeadroomHaveABoundedEffect) {
     for (const double false_load : {1000.0, 0.0}) {
         Fleet fleet = make_uneven_fleet();
@@ -227,7 +227,7 @@
     EXPECT_GE(at[Fleet::servers], 250);
 }
 
-TEST(FleetLoadAggregator, AReplicaThatWasSuspendedFirstTrustsNoMessage) {
+TEST(FleetLoadAggregator, ReplicaIgnoresMessagesRightAfterItWasSuspended) {
     Fleet fleet = make_uneven_fleet();
     fleet.run_for(seconds(6));
     bool is_suspended = true;
@@ -236,7 +236,7 @@
     is_suspended = false;
     for (int replica = 0; replica < 40; replica += 4) {
         EXPECT_EQ(fleet.aggregator(replica).freshness(fleet.now), 0u);
-        // What waited in its socket.
+        // An old message that was queued in the replica's socket meanwhile.
         const auto old = gossip::parse_message(gossip::encode_headroom(1, 0, std::vector<int>(10, 3)));
         ASSERT_TRUE(old);
         for (int from = 0; from < 40; ++from) fleet.aggregator(replica).on_message(fleet.now, from, *old);
@@ -268,7 +268,7 @@
     EXPECT_GE(at[0], 7);
 }
 
-TEST(FleetLoadAggregator, AServerThatTwoReplicasReportAsDegradedIsNotPicked) {
+TEST(FleetLoadAggregator, ServerIsNotPickedWhenTwoReplicasReportItDegraded) {
     Fleet fleet = make_uneven_fleet();
     fleet.load[3][4] = gossip::degraded_marker;
     fleet.run_for(seconds(6));
@@ -280,11 +280,11 @@
         fleet.load[3][k] = gossip::degraded_marker;
         fleet.load[9][k] = gossip::degraded_marker;
     }
-    fleet.run_for(seconds(6));  // nearly all are degraded: they are picked again
+    fleet.run_for(seconds(6));  // nearly all servers are degraded, so degraded ones are picked again
     EXPECT_LT(fleet.picks_of_all(10)[10], 200);
 }
 
-TEST(FleetLoadAggregator, ADuplicateReplicaIndexAndAWrongClockDoNoHarm) {
+TEST(FleetLoadAggregator, FullServerIsNotPickedDespiteDuplicateReplicaIndexOrWrongClock) {
     Fleet fleet = make_uneven_fleet();
     fleet.aggregators[21].set_replica(20, 40);
     fleet.run_for(seconds(8));
@@ -305,9 +305,9 @@
     }
 }
 
-// Guards against headroom that is read for another list: the checksum has 64 values, so some longer lists
-// have the same one.
-TEST(FleetLoadAggregator, HeadroomForAShorterListIsDropped) {
+// Guards against headroom being applied to a longer server list: the checksum has only 64 values, so some
+// longer lists have the same checksum.
+TEST(FleetLoadAggregator, HeadroomIsDiscardedWhenTheServerListGrows) {
     Fleet fleet = make_uneven_fleet();
     fleet.run_for(seconds(4));
     EXPECT_EQ(fleet.aggregators[3].freshness(fleet.now), 1);
--- a/tests/fleet_load/test_subset_order.cpp
+++ b/tests/fleet_load/test_subset_order.cpp
@@ -1,4 +1,4 @@
-/// Deterministic subsetting: how even the sum over many balancers without gossip is.
+/// Tests deterministic subsetting: how even the load summed over many balancers without gossip is.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 
 enum class Order { subset, independent };
 
-/// The server that the next connection of a balancer goes to.
+/// Returns the server that a balancer's next connection goes to.
 size_t next_server(const std::vector<WeightedServer>& servers, const std::vector<double>& own_load,
                    const std::vector<double>& thresholds) {
     size_t best = 0;
@@ -40,7 +40,7 @@
     return best;
 }
 
-/// Lets each balancer place `connections_of(index)` connections. Returns the servers' loads over their
+/// Places `connections_of(index)` connections for each balancer. Returns the servers' loads divided by their
 /// weights.
 std::vector<double> place_connections(int balancers, const std::vector<WeightedServer>& servers,
                                       const std::function<int(int)>& connections_of, Order order) {
@@ -60,7 +60,7 @@
     return load;
 }
 
-/// Standard deviation over mean.
+/// Returns the standard deviation divided by the mean.
 double variation(const std::vector<double>& values) {
     double sum = 0;
     double squares = 0;
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-TEST(SubsetOrder, TheSumIsFarMoreEvenThanWithIndependentOrders) {
+TEST(SubsetOrder, LoadIsFarMoreEvenThanWithIndependentOrders) {
     const double independent =
         variation(place_connections(200, make_servers(30), four_each, Order::independent));
     const double subset = variation(place_connections(200, make_servers(30), four_each, Order::subset));
@@ -86,20 +86,20 @@
     EXPECT_LT(subset, 0.4 * independent);
 }
 
-TEST(SubsetOrder, TheSumIsMoreEvenWithUnequalWeightsAndUnequalBalancers) {
+TEST(SubsetOrder, LoadIsMoreEvenWithUnequalWeightsOrUnequalBalancers) {
     EXPECT_LT(variation(place_connections(200, make_servers(30, 8), four_each, Order::subset)),
               0.6 * variation(place_connections(200, make_servers(30, 8), four_each, Order::independent)));
     EXPECT_LT(variation(place_connections(200, make_servers(30), uneven_count, Order::subset)),
               0.8 * variation(place_connections(200, make_servers(30), uneven_count, Order::independent)));
 }
 
-TEST(SubsetOrder, TheSumIsMoreEvenWhereSomeReplicasAreDead) {
+TEST(SubsetOrder, LoadIsMoreEvenWhenSomeReplicasAreDead) {
     const auto alive = [](int balancer) { return balancer * 7 % 10 < 6 ? 4 : 0; };
     EXPECT_LT(variation(place_connections(200, make_servers(30), alive, Order::subset)),
               0.8 * variation(place_connections(200, make_servers(30), alive, Order::independent)));
 }
 
-TEST(SubsetOrder, RemovedServersGetNothingAndTheOthersShareTheirPart) {
+TEST(SubsetOrder, RemovedServersGetNoLoadAndTheOthersShareTheirPart) {
     std::vector<WeightedServer> servers = make_servers(12);
     servers[3].is_active = false;
     servers[7].is_active = false;
@@ -125,7 +125,7 @@
     EXPECT_EQ(subset_thresholds(1, 3, servers).size(), 3u);
 }
 
-TEST(SubsetOrder, ARankingKeepsItsScoresWhenServersJoin) {
+TEST(SubsetOrder, RankingKeepsItsScoresWhenServersAreAdded) {
     RendezvousRanking ranking;
     extend_ranking(ranking, 5, make_servers(6));
     const std::vector<double> before = ranking.scores;
