--- a/src/simulator/action_writer.h
+++ b/src/simulator/action_writer.h
@@ -1,4 +1,5 @@
-/// Writes the actions of one policy as the simulator's JSON lines. No I/O: lines are appended to a text.
+/// Encodes the actions of one policy as the simulator's JSON lines. Does no I/O: appends the lines to a
+/// string.
 #pragma once
 #include <string>
 
@@ -6,7 +7,7 @@
 
 namespace headrouter {
 
-/// The actions of one simulated balancer. Not thread-safe; `reply` must outlive it.
+/// Appends the actions of one simulated balancer to `reply`, which must outlive the writer. Not thread-safe.
 class ActionWriter : public PolicyActions {
    public:
     ActionWriter(int instance, std::string& reply) : instance_(instance), reply_(reply) {}
--- a/src/simulator/event_parser.cpp
+++ b/src/simulator/event_parser.cpp
@@ -15,7 +15,7 @@
     endpoint.server = json::text(entry, "server");
     endpoint.weight = json::real(entry, "units");
     if (!(endpoint.weight >= 0) || !std::isfinite(endpoint.weight))
-        json::wrong("units", "a number from 0 on");
+        json::wrong("units", "a finite number not below 0");
     endpoint.state = json::one_of<EndpointState>(entry, "condition",
                                                  {{"active", EndpointState::active},
                                                   {"leaving", EndpointState::draining},
@@ -35,10 +35,10 @@
     request.id = static_cast<RequestId>(json::natural(event, "ref"));
     request.type = json::small(event, "kind");
     if (request.type >= static_cast<int>(config.request_classes.size()))
-        json::wrong("kind", "one of the traffic types told at start");
+        json::wrong("kind", "the index of one of the instance's traffic types");
     request.tenant = json::small_or_zero(event, "account");
     if (config.tenants > 0 && request.tenant >= config.tenants)
-        json::wrong("account", "one of the tenants told at start");
+        json::wrong("account", "the index of one of the instance's tenants");
     request.is_reconnect = json::flag(event, "again");
     request.mid_stream = json::flag(event, "midFlow");
     request.key = json::text_or(event, "affinity", "");
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,6 +1,6 @@
-/// headrouter_adapter: hosts the balancing policies of a simulation over standard input and output, one JSON
-/// line a message. Exits with 0 at the end of the input, with 1 and a message on standard error at the first
-/// fault.
+/// headrouter_adapter: runs the balancing policies of a simulation; reads events from standard input and
+/// writes actions to standard output, one JSON message a line. Exits with 0 at the end of the input, or with
+/// 1 and a message on standard error at the first error.
 #include <cstdint>
 #include <iostream>
 #include <string>
@@ -14,7 +14,8 @@
     return 1;
 }
 
-/// Writes the reply at once: the simulator waits for it before it sends the next batch.
+/// Writes and flushes the reply: the simulator waits for the reply before it sends the next batch. Returns
+/// false if the write fails.
 bool write_reply(const std::string& reply) {
     std::cout.write(reply.data(), static_cast<std::streamsize>(reply.size()));
     std::cout.flush();
@@ -38,8 +39,8 @@
             return fail(line_number, error.what());
         }
         if (batch_ended && !write_reply(session.reply()))
-            return fail(line_number, "the reply could not be written");
+            return fail(line_number, "cannot write the reply to standard output");
     }
-    if (session.in_batch()) return fail(line_number, "the input ends within a batch");
+    if (session.in_batch()) return fail(line_number, "input ends within a batch, before its EofBatch");
     return 0;
 }
--- a/src/simulator/simulator_session.cpp
+++ b/src/simulator/simulator_session.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-/// The values of `sort` in an UpdateOf event.
+/// Values of the field `sort` of an UpdateOf event.
 enum class ReportSort { load = 1, latency = 2 };
 
 RequestId parse_request_id(const Json& fields) {
     return static_cast<RequestId>(json::natural(fields, "ref"));
 }
 
-/// The server that an event names; it must have been in an endpoint list of this instance.
+/// Returns the server that an event names. Throws ParseError if no endpoint list of the instance had it.
 std::string parse_known_server(const Json& fields, const BalancingPolicy& policy) {
     std::string server = json::text(fields, "server");
     if (!policy.has_server(server))
-        throw ParseError("server '" + server + "' stands in no list of this instance");
+        throw ParseError("server '" + server + "' is in no endpoint list of this instance");
     return server;
 }
 
@@ -33,7 +33,7 @@
     rapidjson::Document document;
     json::parse(document, line);
     if (!document.IsObject() || document.MemberCount() != 1 || !document.MemberBegin()->value.IsObject())
-        throw ParseError("a message is an object with a single key and an object beneath it");
+        throw ParseError("message is not an object with a single key whose value is an object");
     const std::string event = document.MemberBegin()->name.GetString();
     const Json& fields = document.MemberBegin()->value;
 
@@ -41,7 +41,7 @@
         begin_batch(fields);
         return false;
     }
-    if (!in_batch_) throw ParseError("'" + event + "' stands outside a batch");
+    if (!in_batch_) throw ParseError("event '" + event + "' is outside a batch");
     if (event == "EofBatch") {
         end_batch();
         return true;
@@ -62,9 +62,10 @@
 }
 
 void SimulatorSession::begin_batch(const Json& fields) {
-    if (in_batch_) throw ParseError("a batch begins before the last one has ended");
+    if (in_batch_) throw ParseError("batch begins before the last one has ended");
     const TimePoint now{json::integer(fields, "momentNs")};
-    if (has_time_ && now < now_) throw ParseError("the clock goes back");
+    if (has_time_ && now < now_)
+        throw ParseError("clock goes back: 'momentNs' is before that of the last batch");
     now_ = now;
     has_time_ = true;
     in_batch_ = true;
@@ -94,13 +95,15 @@
     } else if (event == "Ring") {
         policy.on_timer(now_, static_cast<uint64_t>(json::natural(fields, "cookie")));
     } else if (event == "Probed") {
-        parse_known_server(fields, policy);  // the policy starts no probes, so a result is of no use to it
+        // Only checks the event: the policy starts no probes and uses no probe results.
+        parse_known_server(fields, policy);
     } else if (event == "Discovery") {
         const EndpointUpdateKind kind = parse_update_kind(fields);
         policy.on_endpoints(now_, kind, parse_endpoints(fields, kind));
     } else if (event == "Mail") {
         const int sender = json::small(fields, "by");
-        // A message that it cannot read is ignored: it is another version's, or was damaged on the way.
+        // The policy ignores a message that it cannot parse: another version sent it, or it was damaged in
+        // transit.
         policy.on_gossip(now_, sender, json::text(fields, "contents"));
     } else {
         throw ParseError("unknown event '" + event + "'");
--- a/src/simulator/simulator_session.h
+++ b/src/simulator/simulator_session.h
@@ -1,6 +1,6 @@
-/// The simulator's side of the adapter: JSON lines with events in, JSON lines with the policies' actions out.
-/// Line formats are the simulator's; their field names stand in event_parser.cpp, action_writer.cpp and
-/// simulator_session.cpp only.
+/// Connects balancing policies to the simulator: takes its events as JSON lines and returns the policies'
+/// actions as JSON lines. The simulator defines the line formats; their field names appear only in
+/// event_parser.cpp, action_writer.cpp and simulator_session.cpp.
 #pragma once
 #include <rapidjson/fwd.h>
 
@@ -14,12 +14,12 @@
 
 namespace headrouter {
 
-/// Hosts the policies of all simulated balancers. Events arrive in batches that share one point in time; a
-/// batch is answered as a whole when it ends. Not thread-safe.
+/// Runs the policies of all simulated balancers. Events arrive in batches; all events of a batch happen at
+/// the same time, and the batch gets one reply when it ends. Not thread-safe.
 class SimulatorSession {
    public:
-    /// Handles one line. Returns true when it ended a batch: reply() then holds the batch's answer, until the
-    /// next one begins. Throws ParseError for a line that cannot be read or that does not fit the lines
+    /// Handles one line. Returns true if the line ended a batch: reply() then holds the batch's reply until
+    /// the next batch begins. Throws ParseError for a line that is malformed or not valid after the lines
     /// before it.
     bool handle_line(const std::string& line);
 
