--- a/src/gossip/gossip_message.cpp
+++ b/src/gossip/gossip_message.cpp
@@ -9,12 +9,12 @@
 
 constexpr char version = '1';
 
-// The digits of a number, in the order of their values.
+// The digits 0 to 63 of a number, in this order.
 constexpr std::string_view alphabet = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_";
 constexpr int bits_per_digit = 6;
 constexpr uint32_t highest_digit = 63;
 
-// How many digits each field has.
+// Width of each field, in digits.
 constexpr int round_digits = 3, reporter_count_digits = 2, total_load_digits = 4;
 constexpr int server_digits = 2, group_digits = 3, load_digits = 1;
 constexpr int timestamp_digits = 2, list_checksum_digits = 1;
@@ -35,14 +35,14 @@
 constexpr int bits_per_headroom = 2;
 static_assert(max_headroom < 1 << bits_per_headroom);
 
-// A load's digit is its logarithm, from a quarter of a connection in steps of 15 %.
+// A load is encoded as its logarithm in one digit: digit 0 is a quarter of a connection, each step adds 15 %.
 constexpr double least_load = 0.25, load_step = 1.15;
-// In a load report the highest digit stands for a degraded server.
+// In a load report the highest digit marks a degraded server.
 constexpr uint32_t degraded_digit = highest_digit;
 
 constexpr double total_load_step = 0.25;
-constexpr double highest_total_load = 16777215.0;  // of four digits
-constexpr size_t highest_reporter_count = 4095;    // of two digits
+constexpr double highest_total_load = 16777215.0;  // fits four digits
+constexpr size_t highest_reporter_count = 4095;    // fits two digits
 
 void append_number(std::string& bytes, uint64_t value, int digits) {
     for (int k = digits; k-- > 0;) bytes += alphabet[value >> (bits_per_digit * k) & highest_digit];
@@ -57,13 +57,13 @@
 
 double load_of_digit(uint32_t digit) { return least_load * std::pow(load_step, digit); }
 
-// The largest loads come first: they are those that matter where not all fit.
+// Puts the largest loads first: rows that do not fit are cut off at the end, and small loads matter least.
 void sort_by_load(std::vector<ServerLoad>& loads) {
     std::stable_sort(loads.begin(), loads.end(),
                      [](const ServerLoad& a, const ServerLoad& b) { return a.load > b.load; });
 }
 
-/// Reads numbers off the front of a message.
+/// Reads the numbers of a message from front to back.
 class DigitReader {
    public:
     explicit DigitReader(std::string_view bytes) : bytes_(bytes) {}
@@ -71,7 +71,8 @@
     [[nodiscard]] bool at_end() const { return bytes_.empty(); }
     [[nodiscard]] size_t remaining() const { return bytes_.size(); }
 
-    /// False, with `value` undefined, where the message ends or has another character.
+    /// Returns false, with `value` undefined, if the message ends first or has a character outside the
+    /// alphabet.
     [[nodiscard]] bool read(int digits, uint32_t& value) {
         if (bytes_.size() < static_cast<size_t>(digits)) return false;
         value = 0;
@@ -148,7 +149,7 @@
         case MessageKind::load_report: return parse_load_report(in, message);
         case MessageKind::headroom: return parse_headroom(in, message);
     }
-    return false;  // a kind that this version does not know
+    return false;  // kind unknown to this version
 }
 
 }  // namespace
--- a/src/gossip/gossip_message.h
+++ b/src/gossip/gossip_message.h
@@ -1,8 +1,8 @@
-/// Encoding and parsing of the messages that balancers send one another. Nothing is decided here.
+/// Encodes and parses the messages that balancers send one another. Makes no decisions.
 ///
-/// A message consists of letters, digits, '-' and '_' only, so that it is the same as text in JSON and as a
-/// datagram: a version, a kind, then numbers of a fixed number of digits of six bits each. docs/gossip.md has
-/// the form.
+/// A message has only letters, digits, '-' and '_', so that the same bytes serve as a datagram and as a JSON
+/// string: a version, a kind, then numbers, each with a fixed count of six-bit digits. docs/gossip.md
+/// specifies the format.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -13,57 +13,57 @@
 
 namespace headrouter::gossip {
 
-/// A message fits one small datagram.
+/// Maximum size of a message: it fits one small datagram.
 constexpr size_t max_message_bytes = 256;
-/// How many rows fit one message of each kind.
+/// Maximum number of rows in a message, by kind of row.
 constexpr size_t max_load_rows = 80, max_location_rows = 48, max_headroom_rows = 741;
 
-/// A server in a message: the low bits of a hash of its id (see ShortServerIds).
+/// Identifies a server in a message: the low bits of a hash of the server's id (see ShortServerIds).
 using ShortServerId = uint32_t;
 
-/// The fields of a message are taken modulo these.
+/// Moduli of the message fields, set by the field widths.
 constexpr uint32_t short_server_id_modulus = 1 << 12;
 constexpr uint32_t group_modulus = 1 << 18;
 constexpr uint32_t round_modulus = 1 << 18;
 constexpr uint32_t timestamp_modulus = 1 << 12;
 constexpr uint32_t list_checksum_modulus = 1 << 6;
 
-/// The load of a server that the reporter found slow or failing.
+/// Load value that marks a server which the reporter found slow or failing.
 constexpr double degraded_marker = -1;
 
-/// The most that a server's headroom can be.
+/// Largest headroom of a server, in multiples of the share that its weight gives.
 constexpr int max_headroom = 3;
 
-/// The letter that stands for the kind in a message.
+/// The kind of a message; the value is its letter in the message.
 enum class MessageKind : char {
-    round_counts = 'c',     ///< one balancer's loads of a round, to the one that sums it
-    round_sum = 's',        ///< the sum over the balancers of a round, to all
+    round_counts = 'c',     ///< one balancer's loads of a round, sent to the balancer that sums the round
+    round_sum = 's',        ///< the round's loads summed over balancers, sent to all
     group_locations = 'h',  ///< which servers hold members of which groups
-    load_report = 'n',      ///< one balancer's present loads, to its aggregator
-    headroom = 'r',         ///< an aggregator's answer: what each server should get
+    load_report = 'n',      ///< one balancer's current loads, sent to its aggregator
+    headroom = 'r',         ///< the aggregator's answer: each server's headroom
 };
 
-/// A server's load in mean load units. In a message it has one digit: its logarithm, so it is off by up to a
-/// tenth.
+/// A server's load in mean load units. A message holds the load's logarithm in one digit, which rounds the
+/// load by up to a tenth.
 struct ServerLoad {
     ShortServerId server;
     double load;
 };
 
-/// A server that holds a member of an affinity group; the latter is a hash of the group's name.
+/// Locates a member of an affinity group; `group` is a hash of the group's name.
 struct GroupLocationRow {
     uint32_t group;
     ShortServerId server;
 };
 
-/// A message as parsed. Which fields are set depends on the kind.
+/// Holds a parsed message. The kind determines which fields are set.
 struct Message {
     MessageKind kind = MessageKind::round_counts;
 
     // round_counts and round_sum
     uint32_t round = 0;         ///< modulo `round_modulus`
-    size_t reporter_count = 0;  ///< over how many balancers the loads are summed; at least 1
-    double total_load = 0;      ///< over all servers, also those that have no row
+    size_t reporter_count = 0;  ///< number of balancers whose loads are summed; at least 1
+    double total_load = 0;      ///< over all servers, including those without a row
 
     // round_counts, round_sum and load_report
     std::vector<ServerLoad> loads;
@@ -72,32 +72,32 @@
     std::vector<GroupLocationRow> locations;
 
     // load_report and headroom
-    uint32_t timestamp = 0;  ///< the wall clock in ticks of the sender, modulo `timestamp_modulus`
+    uint32_t timestamp = 0;  ///< the sender's wall clock in ticks, modulo `timestamp_modulus`
 
     // headroom
-    uint32_t list_checksum = 0;  ///< tells which list of servers the rows are for
-    std::vector<int> headroom;   ///< in the order of the list; up to two more than were encoded
+    uint32_t list_checksum = 0;  ///< identifies the server list that the rows belong to
+    std::vector<int> headroom;   ///< in list order; may have up to two more rows than were encoded
 };
 
-/// Encodes one balancer's loads (`round_counts`) or the sum over `reporter_count` of them (`round_sum`). Rows
-/// that do not fit, the smallest, are left out; `total_load` counts them.
+/// Encodes one balancer's loads (`round_counts`) or the sum over `reporter_count` of them (`round_sum`).
+/// Omits the rows with the smallest loads if not all fit; `total_load` still includes them.
 [[nodiscard]] std::string encode_round_loads(MessageKind kind, uint32_t round, size_t reporter_count,
                                              double total_load, std::vector<ServerLoad> loads);
 
-/// Encodes up to `max_location_rows` rows; those beyond are left out.
+/// Encodes the first `max_location_rows` rows and omits the others.
 [[nodiscard]] std::string encode_group_locations(const std::vector<GroupLocationRow>& rows);
 
-/// Encodes a balancer's present loads; `degraded_marker` stands for the load of a server found slow or
-/// failing. The timestamp comes from the wall clock so that it goes on over restarts.
+/// Encodes a balancer's current loads; a server found slow or failing has the load `degraded_marker`. The
+/// timestamp comes from the wall clock so that it keeps increasing across restarts.
 [[nodiscard]] std::string encode_load_report(uint32_t timestamp, std::vector<ServerLoad> loads);
 
-/// Encodes, for each server of a list in the order of their short ids, how much of the next connections it
-/// should get: 0 to `max_headroom`, in parts of what its weight alone would give it.
+/// Encodes the headroom of each server of a list, ordered by short id: how much of the next connections it
+/// should get, from 0 to `max_headroom`, in multiples of the share that its weight gives it.
 [[nodiscard]] std::string encode_headroom(uint32_t timestamp, uint32_t list_checksum,
                                           const std::vector<int>& headroom);
 
-/// Nothing for whatever this version does not encode: another version or kind, cut off, too long, odd
-/// characters.
+/// Parses a message. Returns nullopt for one that this version cannot have encoded: another version or kind,
+/// truncated within the header or a row, too long, or with a character outside the alphabet.
 [[nodiscard]] std::optional<Message> parse_message(std::string_view bytes);
 
 }  // namespace headrouter::gossip
--- a/src/gossip/gossip_rounds.cpp
+++ b/src/gossip/gossip_rounds.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Pooled loads count in full for so many rounds after a sum, and not at all after so many.
+/// Age in rounds up to which a sum's pooled loads count in full, and from which they do not count at all.
 constexpr double rounds_fresh = 2, rounds_until_stale = 6;
-/// One sum moves what is believed by this factor at the most, as its sender may report anything; the next sum
-/// has another sender.
+/// Largest factor by which one sum changes the pooled loads. It bounds the effect of a sender that reports
+/// false loads; the next sum comes from another sender.
 constexpr double max_change = 1.5;
-/// A server's load may so rise by this much beyond that factor, in mean load units.
+/// Increase of a server's pooled load that one sum may cause beyond `max_change`, in mean load units.
 constexpr double change_slack = 8;
-/// A sum over fewer than one in so many balancers says little.
+/// Largest ratio of all balancers to reporters at which a sum is accepted: fewer reporters represent the
+/// fleet too poorly.
 constexpr double max_scale = 2;
-/// Keeps quotients finite where no server has a weight.
+/// Smallest divisor: keeps quotients finite if no server has a weight.
 constexpr double least_weight = 1e-9;
 
 double active_weight(const std::vector<ServerEstimate>& servers) {
@@ -24,7 +25,8 @@
     return weight;
 }
 
-/// What each server's load is by a sum: that of its row, else its part of the load that has no row.
+/// Returns each server's load according to a sum: that of its row or, without a row, its share by weight of
+/// the load that no row covers.
 std::vector<double> reported_loads(const RoundSum& sum, const std::vector<ServerEstimate>& servers) {
     double load_without_row = sum.total_load;
     double weight_without_row = active_weight(servers);
@@ -46,7 +48,7 @@
 
 bool GossipRounds::on_sum(TimePoint now, const RoundSum& sum, int replica_count, double own_load,
                           std::vector<ServerEstimate>& servers) {
-    // Scaled up for the balancers that have not reported.
+    // Extrapolates to the balancers that have not reported.
     const double scale = std::max(1.0, replica_count / static_cast<double>(sum.reporter_count));
     if (sum.round <= state_.last_round || scale > max_scale) return false;
     state_.last_round = sum.round;
@@ -63,8 +65,8 @@
     return true;
 }
 
-// The total may rise freely, as a low one is what would make servers look full, but falls by the factor only.
-// Before the first sum it is guessed from the own load.
+// The total may rise without limit but falls by at most `max_change` for each sum, since a total that is too
+// low makes servers look full. Before the first sum the total is estimated from this balancer's own load.
 void GossipRounds::update_total(const RoundSum& sum, int replica_count, double own_load, double scale) {
     const bool is_first = state_.received_at.ns <= 0;
     const double known = is_first ? own_load * replica_count / max_change : state_.total_load;
--- a/src/gossip/group_locations.cpp
+++ b/src/gossip/group_locations.cpp
@@ -8,9 +8,10 @@
 namespace headrouter::gossip {
 
 namespace {
-/// Beyond so many groups all are forgotten; what is still of use is announced again when a member is placed.
+/// Number of groups at which a new group clears all of them; locations still in use are announced again when
+/// the group's next member is placed.
 constexpr size_t max_groups = 4096;
-/// More servers than a group's members usually spread over.
+/// Locations kept for a group; its members usually spread over fewer servers.
 constexpr size_t max_locations_per_group = 8;
 }  // namespace
 
@@ -41,7 +42,7 @@
         GroupLocation& location = find_or_add(placement.group, placement.server);
         if (!std::exchange(location.announcement_pending, false)) continue;
         if (credit < cost || taken.size() >= max_location_rows) {
-            location.announced_at = TimePoint{};  // so that the next member announces it
+            location.announced_at = TimePoint{};  // lets the next member placed there announce the location
             continue;
         }
         credit -= cost;
--- a/src/gossip/group_locations.h
+++ b/src/gossip/group_locations.h
@@ -1,4 +1,5 @@
-/// Which servers hold members of which affinity groups, as other balancers announce and as placed here.
+/// Tracks which servers hold members of which affinity groups, as announced by other balancers and as placed
+/// here.
 #pragma once
 #include <cstdint>
 #include <unordered_map>
@@ -10,42 +11,43 @@
 
 namespace headrouter::gossip {
 
-/// A server that holds members of a group.
+/// Identifies a server that holds members of a group, with the times of its announcements.
 struct GroupLocation {
     ServerIndex server;
-    TimePoint received_at;   ///< last announced by another balancer; zero: never
-    TimePoint announced_at;  ///< last announced by any balancer, this one included
+    TimePoint received_at;   ///< last announcement by another balancer; zero: never
+    TimePoint announced_at;  ///< last announcement by any balancer, including this one
     bool announcement_pending = false;
 };
 
-/// A group, by the hash of its name, with a member on a server.
+/// Identifies a group, by the hash of its name, and a server that holds one of its members.
 struct GroupPlacement {
     uint32_t group = 0;
     ServerIndex server;
 };
 
-/// The locations known of each group, bounded in groups and in locations of each. Not thread-safe.
+/// Keeps the known locations of each group; the number of groups and of locations in each is bounded. Not
+/// thread-safe.
 class GroupLocations {
    public:
-    /// By the hash of the group's name.
+    /// Keyed by the hash of the group's name.
     using State = std::unordered_map<uint32_t, std::vector<GroupLocation>>;
 
     [[nodiscard]] const State& state() const { return groups_; }
     void restore(State state) { groups_ = std::move(state); }
 
-    /// The location of the pair, made where there is none yet; the group's oldest makes way. The reference is
-    /// valid until the next call.
+    /// Returns the location of the group on the server, adding it if unknown; a full group drops its oldest
+    /// location. The reference is valid until the next call.
     GroupLocation& find_or_add(uint32_t group, ServerIndex server);
 
-    /// The locations of a group, the oldest first; valid until the next change.
+    /// Returns the locations of a group, oldest first; valid until the next change.
     [[nodiscard]] const std::vector<GroupLocation>& locations_of(uint32_t group) const;
 
-    /// Forgets all that is known of a server, in every group.
+    /// Removes a server's locations from every group.
     void remove_server(ServerIndex server);
 
-    /// Takes those of the pending placements that are to be announced now: as many as fit a message and as
-    /// `credit` pays for, at `cost` each, both in bytes. Those left out are announced when another member is
-    /// placed.
+    /// Returns the pending placements to announce now: as many as fit a message and as `credit` pays for, at
+    /// `cost` each, both in bytes. Deducts their cost from `credit`. A placement left out is announced when
+    /// another member of its group is placed on that server.
     [[nodiscard]] std::vector<GroupPlacement> take_affordable(const std::vector<GroupPlacement>& pending,
                                                               double& credit, double cost);
 
--- a/src/gossip/load_tally.h
+++ b/src/gossip/load_tally.h
@@ -1,4 +1,4 @@
-/// Sums of the loads that balancers report to the one that sums a round.
+/// Sums the loads that balancers report to the balancer that sums a round.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,25 +9,25 @@
 
 namespace headrouter::gossip {
 
-/// The load on a server, in mean load units.
+/// Holds the load on a server, in mean load units.
 struct IndexedLoad {
     ServerIndex server;
     double load = 0;
 };
 
-/// One balancer's loads of a round.
+/// Holds one balancer's loads of a round.
 struct RoundReport {
     int64_t round;
-    int replica_index;  ///< of the balancer that reports; not negative and below the count of replicas
-    double total_load;  ///< over all servers, also those that have no row
+    int replica_index;  ///< of the reporter; from 0 to the number of replicas less one
+    double total_load;  ///< over all servers, including those without a row
     std::vector<IndexedLoad> loads;
 };
 
-/// The reports of one round, summed for each server. A balancer that reports a false load must not make a
-/// server look full, so of each server the largest report counts as the second largest. Not thread-safe.
+/// Sums the reports of one round for each server. A balancer that reports a false load must not make a server
+/// look full, so each server's largest report counts only as much as the second largest. Not thread-safe.
 class LoadTally {
    public:
-    /// A sum in which the largest part counts as the second largest.
+    /// A sum in which the largest summand counts only as much as the second largest.
     struct RobustSum {
         double sum = 0;
         double largest = 0;
@@ -38,7 +38,7 @@
     };
 
     struct State {
-        int64_t round = -1;              ///< of the wall clock; -1 before the first
+        int64_t round = -1;              ///< numbered by the wall clock; -1 before the first
         std::vector<char> has_reported;  ///< 0 or 1, by replica index
         RobustSum total;
         std::vector<RobustSum> servers;  ///< by server index
@@ -47,14 +47,15 @@
     [[nodiscard]] const State& state() const { return state_; }
     void restore(State state) { state_ = std::move(state); }
 
-    /// Adds a report, once for each replica; the first one of another round starts the tally anew.
+    /// Adds a report; ignores a replica's further reports of the round. A report of another round resets the
+    /// tally first.
     void add(const RoundReport&, int replica_count);
 
-    /// How many balancers have reported.
+    /// Returns the number of balancers that have reported.
     [[nodiscard]] size_t reporter_count() const;
-    /// The total load of all who reported.
+    /// Returns the total load over all reporters, the largest counted only as much as the second largest.
     [[nodiscard]] double total_load() const { return state_.total.value(); }
-    /// The servers whose load lies above `threshold`, in the order of their indices.
+    /// Returns the servers whose load exceeds `threshold`, in the order of their indexes.
     [[nodiscard]] std::vector<IndexedLoad> loads_above(double threshold) const;
 
    private:
--- a/src/gossip/short_server_ids.h
+++ b/src/gossip/short_server_ids.h
@@ -1,4 +1,4 @@
-/// The short ids by which messages name servers.
+/// Maps the short ids that identify servers in messages to server indexes.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,23 +10,23 @@
 
 namespace headrouter::gossip {
 
-/// From short ids to the servers known here. Where two known servers share a short id, it means neither. Not
+/// Maps short ids to the servers known here. A short id shared by two known servers identifies neither. Not
 /// thread-safe.
 class ShortServerIds {
    public:
-    /// The server of each short id; none where several have it.
+    /// The server of each short id; nullopt if several servers share the short id.
     using State = std::unordered_map<ShortServerId, std::optional<ServerIndex>>;
 
     [[nodiscard]] const State& state() const { return servers_; }
     void restore(State state) { servers_ = std::move(state); }
 
-    /// The low bits of a hash of a server's id, the same at every balancer.
+    /// Returns the low bits of a hash of a server's id; equal at every balancer.
     [[nodiscard]] static ShortServerId short_id_of(const std::string& server_id);
 
-    /// Adds a server with its index at this balancer; each server once.
+    /// Adds a server with its index at this balancer. Each server must be added only once.
     void add(const std::string& server_id, ServerIndex server);
 
-    /// The index of the server that a short id means.
+    /// Returns the index of the server with this short id; nullopt if no server or several servers have it.
     [[nodiscard]] std::optional<ServerIndex> find(ShortServerId) const;
 
    private:
--- a/tests/gossip/test_gossip.cpp
+++ b/tests/gossip/test_gossip.cpp
@@ -1,4 +1,5 @@
-/// A handful of policies joined by a simulated network that loses, delays, duplicates and spoils datagrams.
+/// Tests gossip between several policies over a simulated network that loses, delays, duplicates and corrupts
+/// datagrams.
 #include <functional>
 
 #include "capture/policy_state.h"
@@ -20,11 +21,11 @@
     bool is_dead = false;
 };
 
-/// Replicas "0", "1", ... with the same servers "s0", "s1", ... and the datagrams between them.
+/// Simulates replicas 0, 1, ... with the same servers "s0", "s1", ... and the datagrams between them.
 class SimulatedGossipNetwork {
    public:
     TimePoint now = cycle_start;
-    /// How many copies of a datagram arrive; may spoil and delay it, too.
+    /// Returns how many copies of a datagram arrive; may also corrupt or delay the datagram.
     std::function<int(Datagram&)> copies = [](Datagram&) { return 1; };
     RequestId next_id = 1000;
 
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Sends a request of a group to a replica, and establishes it at once. Returns its server, or "" if it
-    /// was placed nowhere.
+    /// Sends a request of a group to a replica and establishes its attempt at once. Returns the server, or ""
+    /// if the request was not placed.
     ServerId place(int k, RequestId id, const std::string& group) {
         const auto& attempts = replicas_[k]->actions.attempts;
         const size_t before = attempts.size();
@@ -68,7 +69,8 @@
         collect();
         return attempts.size() > before ? attempts.back().server : "";
     }
-    /// Lets every replica from `first_replica` on adopt connections on one server, each of its own group.
+    /// Makes every replica from `first_replica` on adopt connections on one server, each in a group of its
+    /// own.
     void adopt_connections(int first_replica, const ServerId& server, int count_each) {
         for (int k = first_replica; k < size(); ++k)
             for (int count = 0; count < count_each; ++count, ++next_id) {
@@ -77,7 +79,7 @@
             }
         collect();
     }
-    /// Lets every replica adopt connections on each of the first four servers.
+    /// Makes every replica adopt connections on each of the first four servers.
     void adopt_on_four_servers(int count_each) {
         for (int server = 0; server < 4; ++server)
             adopt_connections(0, "s" + std::to_string(server), count_each);
@@ -85,7 +87,8 @@
 
    private:
     void fire_timers() {
-        // A policy whose timer fires sets new ones in its actions, so the list stays as it is meanwhile.
+        // on_timer() adds new timers to the replica's actions, not to this list, so erasing while it runs is
+        // safe.
         for (const auto& replica : replicas_)
             std::erase_if(replica->timers, [&](const RecordingActions::Timer& timer) {
                 if (timer.due <= now && !replica->is_dead) replica->policy->on_timer(now, timer.token);
@@ -116,7 +119,7 @@
     std::vector<Datagram> in_flight_;
 };
 
-/// The bytes that tell that `group` is located on `server`.
+/// Returns a message that announces a member of `group` on `server`.
 std::string group_location(const std::string& group, const std::string& server) {
     const auto name = static_cast<uint32_t>(hash_of(group) % gossip::group_modulus);
     return gossip::encode_group_locations({{name, gossip::ShortServerIds::short_id_of(server)}});
@@ -124,8 +127,8 @@
 
 }  // namespace
 
-// Guards against a server that all balancers fill a little, though no single one sees that it is full.
-TEST(Gossip, SharesAndHeadroomFollowTheAggregatedLoads) {
+// Guards against a server that all balancers together overload while each of them sees only a small load.
+TEST(Gossip, RoomForGroupsFollowsTheAggregatedLoads) {
     SimulatedGossipNetwork network(10, 8);
     for (const char* server : {"s0", "s0", "s1", "s2", "s3"}) network.adopt_connections(1, server, 1);
     EXPECT_EQ(network.inspect(0).fleet_trust(network.now), 0);
@@ -143,19 +146,20 @@
         network.adopt_connections(1, "s0", 4);
         network.run(seconds(5));
     }
-    // A sum may grow by half at a time, so this takes some rounds; a few connections are migrated.
+    // A pooled load grows by at most half in a round, so this takes some rounds; a few connections are
+    // migrated.
     network.run(seconds(20));
     EXPECT_GT(network.inspect(0).fleet_load("s0"), 80);
     EXPECT_FALSE(network.inspect(0).has_room_for_group(network.now, "s0"));
     EXPECT_TRUE(network.inspect(0).has_room_for_group(network.now, "s5"));
 }
 
-TEST(Gossip, GroupLocationsArePublished) {
+TEST(Gossip, ReplicasPlaceGroupMembersAtPublishedLocations) {
     SimulatedGossipNetwork network(4, 6);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
     const ServerId first = network.place(0, 1, "lecture");
-    // Where rendezvous hashing would not send it.
+    // A server that rendezvous hashing would not choose.
     const ServerId other = first == "s5" ? "s4" : "s5";
     network.policy(0).on_request_adopted(network.now, make_request(2, network.now, "", "concert"), other);
     network.run(seconds(1));
@@ -165,7 +169,7 @@
     }
 }
 
-TEST(Gossip, WithAllDatagramsLostPlacementIsAsWithoutGossip) {
+TEST(Gossip, PlacementIsAsWithoutGossipWhenAllDatagramsAreLost) {
     SimulatedGossipNetwork lost(4, 6);
     SimulatedGossipNetwork none(4, 6, false);
     lost.copies = [](Datagram&) { return 0; };
@@ -187,7 +191,7 @@
     }
 }
 
-TEST(Gossip, LoadsThatAreNotPublishedAgainFade) {
+TEST(Gossip, PooledLoadsLoseWeightWhenNotPublishedAgain) {
     SimulatedGossipNetwork network(4, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
@@ -199,7 +203,7 @@
     EXPECT_EQ(network.inspect(1).fleet_trust(network.now), 0);
 }
 
-TEST(Gossip, DuplicatedLateAndMalformedDatagramsDoNoHarm) {
+TEST(Gossip, PooledLoadsStayBoundedWithDuplicatedLateAndMalformedDatagrams) {
     SimulatedGossipNetwork clean(6, 4);
     SimulatedGossipNetwork rough(6, 4);
     int datagrams = 0;
@@ -207,7 +211,7 @@
         ++datagrams;
         if (datagrams % 7 == 0) datagram.bytes[datagram.bytes.size() / 2] = '#';
         if (datagrams % 11 == 0) datagram.bytes += std::string(300, 'A');
-        if (datagrams % 13 == 0) datagram.bytes[0] = '2';  // a later version
+        if (datagrams % 13 == 0) datagram.bytes[0] = '2';  // version byte of a later version
         if (datagrams % 17 == 0) datagram.due = datagram.due + seconds(20);
         return 2;
     };
@@ -231,8 +235,8 @@
     EXPECT_TRUE(policy.on_gossip(clean.now, 1, "1h00000"));
 }
 
-// Guards against one replica whose counts and sums keep all others away from a server.
-TEST(Gossip, AReplicaThatReportsFalseLoadsCannotEmptyAServer) {
+// Guards against one replica whose false counts and sums keep all other replicas away from a server.
+TEST(Gossip, FalseLoadsOfOneReplicaDoNotMakeServersLookFull) {
     SimulatedGossipNetwork network(6, 4);
     network.adopt_on_four_servers(2);
     network.copies = [](Datagram& datagram) {
@@ -253,7 +257,7 @@
     }
 }
 
-TEST(Gossip, ARoundWhoseReporterDiesIsFollowedByAnothers) {
+TEST(Gossip, NextReplicaPublishesSumsWhenTheReporterDies) {
     SimulatedGossipNetwork network(4, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(15) + millis(120));
@@ -265,8 +269,8 @@
     EXPECT_GT(network.inspect(other).fleet_total(), 20);
 }
 
-// Guards against sending to a server that the own endpoint list does not have, or has as draining.
-TEST(Gossip, AMessageDoesNotMakeAServerSelectable) {
+// Guards against sending to a server that the replica's own endpoint list lacks or has as draining.
+TEST(Gossip, GroupLocationOfUnknownOrDrainingServerIsNotUsed) {
     SimulatedGossipNetwork network(2, 3);
     Endpoint draining = make_endpoint("s2");
     draining.state = EndpointState::draining;
@@ -279,8 +283,8 @@
     }
 }
 
-// Guards against group locations that send all balancers to one server that warms up.
-TEST(Gossip, WarmUpPermitsOfAllReplicasHoldWithGossip) {
+// Guards against group locations that make all balancers send to one server that is still warming up.
+TEST(Gossip, WarmUpPermitsLimitGroupMembersOfAllReplicas) {
     SimulatedGossipNetwork network(8, 4);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
@@ -295,12 +299,12 @@
         if (network.place(static_cast<int>(id) % 8, id, "crowd") == "s9") ++sent_to_warming;
         if (id % 8 == 0) network.run(millis(100));
     }
-    // Up to 224 connections on five servers, two of its ten seconds of slow start: at most 2 x 0.2 of a
-    // share, and chance.
+    // Up to 224 connections on five servers, two of the ten seconds of slow start: at most 2 x 0.2 of a
+    // share, plus 8 for random variation.
     EXPECT_LE(sent_to_warming, 2 * 0.2 * 224 / 5 + 8);
 }
 
-// Guards against group locations that take more bandwidth than the requests.
+// Guards against group locations that use more bandwidth than the requests do.
 TEST(Gossip, PublishedGroupLocationsAreLimitedByRequests) {
     SimulatedGossipNetwork network(60, 6);
     size_t bytes = 0;
@@ -308,7 +312,7 @@
         if (datagram.bytes[1] == 'h') bytes += datagram.bytes.size();
         return 1;
     };
-    network.adopt_on_four_servers(10);  // adopted ones do not count
+    network.adopt_on_four_servers(10);  // adopted connections earn no bandwidth
     network.run(seconds(2));
     EXPECT_GT(bytes, 0);
     EXPECT_LE(bytes, 60 * 2400);
@@ -320,8 +324,9 @@
     EXPECT_LE(bytes, 600 * 60 + 60 * 2400);
 }
 
-// More group locations at once than a message holds: the others follow with the next request.
-TEST(Gossip, GroupLocationsThatDoNotFitArePublishedLater) {
+// Guards against the loss of group locations that exceed one message: they are published with the next
+// request of the group.
+TEST(Gossip, GroupLocationsBeyondOneMessageArePublishedLater) {
     SimulatedGossipNetwork network(2, 6);
     std::vector<size_t> sizes;
     network.copies = [&](Datagram& datagram) {
@@ -342,8 +347,8 @@
     EXPECT_LT(sizes[1], sizes[0]);
 }
 
-// Where crossing zones costs.
-TEST(Gossip, PreferredServersNearbyComeBeforeAFarGroupLocation) {
+// Applies where traffic between zones has a cost.
+TEST(Gossip, NearbyServerIsChosenBeforeGroupLocationInAnotherZone) {
     PolicyConfig config = make_replica_config(0);
     config.groups = true;
     config.gossip_enabled = true;
@@ -354,7 +359,7 @@
     adopt_connections(policy, cycle_start, "a", 10, 6);
     adopt_connections(policy, cycle_start, "b", 20, 6);
     const auto round = static_cast<uint32_t>(cycle_start.ns / seconds(5).ns % gossip::round_modulus);
-    const TimePoint now = cycle_start + seconds(5.3);  // an odd round: the other replica's
+    const TimePoint now = cycle_start + seconds(5.3);  // an odd round, which the other replica sums
     EXPECT_TRUE(policy.on_gossip(
         now, 1, gossip::encode_round_loads(gossip::MessageKind::round_sum, round + 1, 2, 24, {})));
     EXPECT_EQ(inspector.fleet_trust(now), 1);
@@ -366,8 +371,8 @@
     EXPECT_EQ(actions.attempts.back().server, "b");
 }
 
-// In captures and across a hot restart.
-TEST(Gossip, AStateCarriesAggregatedLoadsAndGroupLocations) {
+// Captures and hot restarts transfer this state.
+TEST(Gossip, RestoredStateHasAggregatedLoadsAndGroupLocations) {
     SimulatedGossipNetwork network(4, 6);
     network.adopt_on_four_servers(2);
     network.run(seconds(11));
--- a/tests/gossip/test_gossip_state.cpp
+++ b/tests/gossip/test_gossip_state.cpp
@@ -1,4 +1,4 @@
-// What a balancer keeps of others' messages: tallies, rounds, locations of groups, short ids.
+// Tests the state that a balancer keeps from gossip: tallies, rounds, group locations and short ids.
 #include <gtest/gtest.h>
 
 #include "gossip/gossip_rounds.h"
@@ -13,7 +13,7 @@
 constexpr TimePoint start{1'000'000'000'000};
 }  // namespace
 
-TEST(LoadTally, TheLargestReportCountsAsTheSecond) {
+TEST(LoadTally, LargestReportCountsAsTheSecondLargest) {
     LoadTally tally;
     tally.add({7, 0, 10, {{ServerIndex{0}, 2}, {ServerIndex{1}, 1}}}, 3);
     tally.add({7, 1, 12, {{ServerIndex{0}, 3}}}, 3);
@@ -21,12 +21,12 @@
     EXPECT_EQ(tally.reporter_count(), 3u);
     EXPECT_EQ(tally.total_load(), 10 + 12 + 12);
     const std::vector<IndexedLoad> loads = tally.loads_above(0);
-    ASSERT_EQ(loads.size(), 1u);  // what one balancer alone reports counts as nothing
+    ASSERT_EQ(loads.size(), 1u);  // a load that only one balancer reports counts as zero
     EXPECT_EQ(loads[0].server, ServerIndex{0});
     EXPECT_EQ(loads[0].load, 2 + 3 + 3);
 }
 
-TEST(LoadTally, AReplicaCountsOnceAndAnotherRoundStartsAnew) {
+TEST(LoadTally, ReplicaCountsOnceARoundAndANewRoundResetsTheTally) {
     LoadTally tally;
     tally.add({7, 1, 10, {}}, 2);
     tally.add({7, 1, 10, {}}, 2);
@@ -37,7 +37,7 @@
     EXPECT_EQ(tally.total_load(), 8);
 }
 
-TEST(GossipRounds, ASumSpreadsWhatHasNoRowByWeight) {
+TEST(GossipRounds, LoadWithoutRowIsSpreadByWeight) {
     GossipRounds rounds;
     std::vector<ServerEstimate> servers{{1, true, 0}, {1, true, 0}, {3, true, 0}};
     EXPECT_EQ(rounds.freshness(start), 0);
@@ -51,17 +51,17 @@
     EXPECT_EQ(rounds.freshness(start + round_time * 6), 0);
 }
 
-TEST(GossipRounds, OldSumsAndSumsOfFewChangeNothing) {
+TEST(GossipRounds, SumsOfOldRoundsOrTooFewReportersAreIgnored) {
     GossipRounds rounds;
     std::vector<ServerEstimate> servers{{1, true, 0}};
     EXPECT_FALSE(rounds.on_sum(start, {5, 1, 12, {{ServerIndex{0}, 12}}}, 3, 3, servers));
     EXPECT_TRUE(rounds.on_sum(start, {5, 2, 12, {{ServerIndex{0}, 12}}}, 4, 3, servers));
-    EXPECT_EQ(rounds.total_load(), 24);  // scaled up to all four
+    EXPECT_EQ(rounds.total_load(), 24);  // scaled up to all four replicas
     EXPECT_FALSE(rounds.on_sum(start, {5, 4, 90, {{ServerIndex{0}, 90}}}, 4, 3, servers));
     EXPECT_EQ(servers[0].pooled_load, 24);
 }
 
-TEST(GossipRounds, OneSumMovesALoadByABoundedFactor) {
+TEST(GossipRounds, OneSumChangesALoadByABoundedFactor) {
     GossipRounds rounds;
     std::vector<ServerEstimate> servers{{1, true, 10}, {1, true, 10}};
     EXPECT_TRUE(rounds.on_sum(start, {1, 2, 20, {{ServerIndex{0}, 1000}}}, 2, 10, servers));
@@ -80,10 +80,10 @@
     EXPECT_EQ(locations.locations_of(1).size(), 7u);
     EXPECT_TRUE(locations.locations_of(2).empty());
     for (uint32_t group = 0; group < 5000; ++group) (void)locations.find_or_add(group, ServerIndex{0});
-    EXPECT_TRUE(locations.locations_of(1).empty());  // beyond so many groups all are forgotten
+    EXPECT_TRUE(locations.locations_of(1).empty());  // too many groups clear all of them
 }
 
-TEST(GroupLocations, CreditPaysForAnnouncements) {
+TEST(GroupLocations, AnnouncementsAreLimitedByCredit) {
     GroupLocations locations;
     std::vector<GroupPlacement> pending;
     for (uint32_t group = 0; group < 3; ++group) {
@@ -92,18 +92,19 @@
         location.announcement_pending = true;
         pending.push_back({group, ServerIndex{4}});
     }
-    pending.push_back({0, ServerIndex{4}});  // twice
+    pending.push_back({0, ServerIndex{4}});  // a duplicate of an earlier entry
     double credit = 25;
     const std::vector<GroupPlacement> taken = locations.take_affordable(pending, credit, 12);
     ASSERT_EQ(taken.size(), 2u);
     EXPECT_EQ(taken[1].group, 1u);
     EXPECT_EQ(credit, 1);
     EXPECT_EQ(locations.locations_of(1)[0].announced_at, start);
-    EXPECT_EQ(locations.locations_of(2)[0].announced_at, TimePoint{});  // announced with the next member
+    // The credit is used up: this location is announced with the next member.
+    EXPECT_EQ(locations.locations_of(2)[0].announced_at, TimePoint{});
     EXPECT_FALSE(locations.locations_of(2)[0].announcement_pending);
 }
 
-TEST(ShortServerIds, AnIdThatTwoServersShareMeansNeither) {
+TEST(ShortServerIds, ShortIdSharedByTwoServersIdentifiesNeither) {
     ShortServerIds ids;
     ids.add("a", ServerIndex{3});
     EXPECT_EQ(ids.find(ShortServerIds::short_id_of("a")), ServerIndex{3});
