--- a/src/capture/action_recorder.h
+++ b/src/capture/action_recorder.h
@@ -1,5 +1,5 @@
 /// \file
-/// The policy's actions as values.
+/// Collects the policy's actions as values.
 #pragma once
 #include <string>
 #include <utility>
@@ -9,7 +9,7 @@
 
 namespace headrouter::capture {
 
-/// Carries out nothing, and keeps what the policy asks for, in order.
+/// Collects the actions that the policy requests, in order, without executing them.
 class ActionRecorder : public PolicyActions {
    public:
     [[nodiscard]] const std::vector<RecordedAction>& actions() const { return actions_; }
--- a/src/capture/archive.h
+++ b/src/capture/archive.h
@@ -1,10 +1,10 @@
 /// \file
-/// Plain values as bytes. One function serves both ways: `visit(archive, value)` writes the value to a
-/// ByteWriter and reads it from a ByteReader, so that the form of each type stands in one place.
+/// Serializes values to bytes. One function serves both directions: `visit(archive, value)` writes the value
+/// to a ByteWriter or reads it from a ByteReader, so that the layout of each type is defined in one place.
 ///
-/// A number takes eight bytes, least significant first; a flag or an enumerator of one byte takes one; a text
-/// or a list has its length before it, in four bytes. A plain struct is visited by the list of its fields,
-/// for_each_field(), a component by its state.
+/// A number takes eight bytes, least significant first; a flag or a one-byte enumerator takes one byte; a
+/// string or a list is preceded by its length, in four bytes. A plain struct is visited field by field
+/// through for_each_field(), a component through its state.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -25,7 +25,7 @@
 
 namespace headrouter::capture {
 
-/// Appends to a string, which must outlive it.
+/// Appends bytes to a string, which must outlive the writer.
 class ByteWriter {
    public:
     static constexpr bool writes = true;
@@ -38,54 +38,55 @@
     std::string& bytes_;
 };
 
-/// Reads bytes that may be cut off or garbled. Its errors are ParseErrors that name the offset.
+/// Reads bytes that may be truncated or corrupt. Throws ParseErrors that name the offset.
 class ByteReader {
    public:
     static constexpr bool writes = false;
 
-    /// `name`: what the bytes are, for errors; it and the bytes must outlive the reader.
+    /// `name` describes the bytes in error messages. `bytes` and `name` must outlive the reader.
     ByteReader(std::string_view bytes, std::string_view name) : bytes_(bytes), name_(name) {}
 
     void raw(void* into, size_t size) {
-        if (size > left()) fail_at_end(size);
+        if (size > left()) throw_truncated(size);
         std::memcpy(into, bytes_.data() + offset_, size);
         offset_ += size;
     }
 
-    /// Bytes that were not read yet.
+    /// Returns the number of bytes that have not been read yet.
     [[nodiscard]] size_t left() const { return bytes_.size() - offset_; }
 
-    /// Throws where `value`, the byte read last, is neither 0 nor 1.
+    /// Throws if `value`, the byte read last, is neither 0 nor 1.
     void check_flag(uint8_t value) const;
 
-    /// Throws where so many elements, each of a byte at least, cannot follow: room is made for them.
+    /// Throws if fewer than `count` bytes remain. Each element takes at least one byte, and callers allocate
+    /// memory for `count` elements.
     void check_count(size_t count) const;
 
-    /// Throws where bytes are left.
+    /// Throws if unread bytes remain.
     void check_end() const;
 
    private:
-    [[noreturn]] void fail_at_end(size_t size) const;
-    [[nodiscard]] std::string place(size_t offset) const;
+    [[noreturn]] void throw_truncated(size_t size) const;
+    [[nodiscard]] std::string describe_offset(size_t offset) const;
 
     std::string_view bytes_;
     std::string_view name_;
     size_t offset_ = 0;
 };
 
-/// An archive that takes plain values themselves in place of their bytes: it records which fields there are.
+/// An archive that receives plain values in place of their bytes, to record which fields a type has.
 template <class Archive, class Value>
 concept TakesPlainValues = requires(Archive& archive, Value& value) {
     archive.plain_value(value);
 };
 
-/// An archive whose bytes may be wrong.
+/// An archive that reads bytes that may be corrupt, and therefore checks counts.
 template <class Archive>
 concept ChecksCounts = requires(const Archive& archive, size_t count) {
     archive.check_count(count);
 };
 
-/// Stands for any visitor of fields.
+/// A visitor that accepts any field; used only to state the concept below.
 struct AnyVisitor {
     template <class Field>
     void operator()(Field&&) const {}
@@ -98,14 +99,15 @@
     for_each_field(value, AnyVisitor{});
 };
 
-/// A component that gives its state out and takes it back.
+/// A component whose state can be exported and restored.
 template <class Component>
 concept HasState = requires(Component& component, typename Component::State state) {
     component.restore(std::move(state));
     state = component.state();
 };
 
-/// Whether the bytes go on. Fields that were added to a form later stand at its end, where older bytes end.
+/// Returns whether more fields follow. Fields that were added to a layout later are at its end, which bytes
+/// from older builds do not have. A writer always writes them.
 template <class Archive>
 bool has_more(const Archive& archive) {
     if constexpr (Archive::writes)
@@ -153,7 +155,8 @@
     visit(archive, time.ns);
 }
 
-/// The length of a text or list that has `size` elements where it is written; returns how many follow.
+/// Writes `size`, the length of a string or list, or reads a length. Returns the number of elements that
+/// follow.
 template <class Archive>
 size_t visit_size(Archive& archive, size_t size) {
     auto count = static_cast<uint32_t>(size);
@@ -180,8 +183,8 @@
     if (has_value) visit(archive, *optional);
 }
 
-/// A number that there may be none of, in the form of a plain number: -1 for none. Any other negative integer
-/// is read as none too.
+/// Visits an optional number as a plain number, with -1 for none. Any other negative integer is read as none
+/// too.
 template <class Archive, class Number>
 void visit_negative_for_none(Archive& archive, std::optional<Number>& optional) {
     using Plain = std::conditional_t<std::is_floating_point_v<Number>, double, int64_t>;
@@ -200,7 +203,7 @@
     }
 }
 
-/// Marks such a number in a list of fields.
+/// Marks a field that is visited by visit_negative_for_none().
 template <class Number>
 struct NegativeForNone {
     std::optional<Number>& value;
@@ -243,7 +246,8 @@
     if constexpr (Archive::writes) {
         for (auto& element : list) visit(archive, element);
     } else {
-        // Room is made element by element: a garbled count must not make it for more than the bytes hold.
+        // The list grows element by element, so that a corrupt count does not allocate more than the bytes
+        // can hold.
         list.clear();
         for (size_t k = 0; k < count; ++k) visit(archive, list.emplace_back());
     }
@@ -259,7 +263,8 @@
     visit_list(archive, list);
 }
 
-/// The keys in ascending order, so that equal tables give equal bytes whatever their history.
+/// Returns the keys in ascending order, so that equal tables give equal bytes regardless of the order of
+/// insertions and removals.
 template <class Table>
 std::vector<typename Table::key_type> sorted_keys(const Table& table) {
     std::vector<typename Table::key_type> keys;
--- a/src/capture/component_fields.h
+++ b/src/capture/component_fields.h
@@ -1,6 +1,6 @@
-/// ile
-/// The fields of the components that the policy stands on, in the order of their bytes. Captures of earlier
-/// builds have the same order: a new field goes to the end of the whole state.
+/// \file
+/// Lists the fields of the components that the policy is built from, in the order of their bytes. The order
+/// is fixed by existing captures: a new field goes to the end of the whole policy state.
 #pragma once
 #include "affinity/failover_table.h"
 #include "affinity/group_table.h"
@@ -137,7 +137,7 @@
     visit(received.usually_picked);
 }
 
-/// The fields of the election stand among the aggregator's own.
+/// Visits the fields of the election between those of the aggregator, as existing captures have them.
 template <class Visitor>
 void for_each_field(fleet_load::FleetLoadAggregator::State& aggregator, Visitor visit) {
     fleet_load::AggregatorElection::State election = aggregator.election.state();
--- a/src/capture/edit.cpp
+++ b/src/capture/edit.cpp
@@ -24,14 +24,14 @@
 Table with_replaced_keys(Table table, const NameReplacement& replace) {
     Table replaced;
     for (auto& [name, value] : table) {
-        std::string other = name;
-        replace(other);
-        replaced[other] = std::move(value);
+        std::string new_name = name;
+        replace(new_name);
+        replaced[new_name] = std::move(value);
     }
     return replaced;
 }
 
-// Replaces the affinity keys and groups that the policy keeps.
+// Replaces the affinity keys and groups in the policy's state.
 void replace_names(BalancingPolicy& policy, const NameReplacement& replace) {
     BalancingPolicy::State state = policy.state();
     for (auto& [id, request] : state.requests) {
@@ -39,7 +39,7 @@
         replace(request.group);
     }
     state.groups.groups = with_replaced_keys(std::move(state.groups.groups), replace);
-    state.rankings.clear();  // drawn again, from the new names
+    state.rankings.clear();  // the policy computes them again, from the new names
     state.failovers.entries = with_replaced_keys(std::move(state.failovers.entries), replace);
     for (auto& [name, at] : state.failovers.by_age) replace(name);
     policy.restore(std::move(state));
@@ -97,15 +97,15 @@
     std::string path_;
     std::ofstream out_;
     bool has_begun_ = false;
-    std::string frame_;  // room for an event's bytes, kept from event to event
+    std::string frame_;  // bytes of one event; a member so that its memory is reused
     Block open_block_;
 };
 
-// Replaces names by a keyed hash, the same name by the same hash.
+// Replaces names by a keyed hash; equal names get equal hashes.
 class NameHasher {
    public:
     NameHasher() {
-        if (sodium_init() < 0) throw std::runtime_error("no source of randomness for the key");
+        if (sodium_init() < 0) throw std::runtime_error("cannot draw a random key: sodium_init() failed");
         randombytes_buf(key_.data(), key_.size());
     }
 
@@ -139,7 +139,7 @@
         return true;
     };
     ReplayResult result = replay(paths, observer);
-    if (!file.has_begun()) throw ParseError("no event is between these times");
+    if (!file.has_begun()) throw ParseError("the capture has no event in the period to cut");
     file.finish();
     return result;
 }
@@ -155,11 +155,11 @@
             replace_names(anonymous.policy(), [&](std::string& name) { hasher.replace(name); });
             file.begin(event.at, anonymous.state());
         }
-        RecordedEvent other = event;
-        hasher.replace(other.request.key);
-        hasher.replace(other.request.group);
-        other.actions = anonymous.deliver(other);
-        file.append(other);
+        RecordedEvent anonymous_event = event;
+        hasher.replace(anonymous_event.request.key);
+        hasher.replace(anonymous_event.request.group);
+        anonymous_event.actions = anonymous.deliver(anonymous_event);
+        file.append(anonymous_event);
         return true;
     };
     ReplayResult result = replay(paths, observer);
--- a/src/capture/event_codec.cpp
+++ b/src/capture/event_codec.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <class Kind>
-[[noreturn]] void fail_unknown_kind(const char* what, Kind kind, Kind count) {
+[[noreturn]] void throw_unknown_kind(const char* what, Kind kind, Kind count) {
     throw ParseError(what, "is of kind " + std::to_string(static_cast<int>(kind)),
                      "0 to " + std::to_string(static_cast<int>(count) - 1));
 }
@@ -37,7 +37,7 @@
             visit(archive, action.replica_index);
             visit(archive, action.gossip);
             break;
-        default: fail_unknown_kind("an action", action.kind, RecordedAction::Kind::count);
+        default: throw_unknown_kind("an action", action.kind, RecordedAction::Kind::count);
     }
 }
 
@@ -87,21 +87,21 @@
             visit(archive, event.replica_index);
             visit(archive, event.gossip);
             break;
-        default: fail_unknown_kind("an event", event.kind, EventKind::count);
+        default: throw_unknown_kind("an event", event.kind, EventKind::count);
     }
 }
 
 template <class Archive>
 void visit_event(Archive& archive, RecordedEvent& event) {
     visit(archive, event.kind);
-    if (event.kind >= EventKind::count) fail_unknown_kind("an event", event.kind, EventKind::count);
+    if (event.kind >= EventKind::count) throw_unknown_kind("an event", event.kind, EventKind::count);
     visit(archive, event.at);
     visit_fields(archive, event);
     const size_t actions = visit_size(archive, event.actions.size());
     if constexpr (!Archive::writes) event.actions.resize(actions);
     for (RecordedAction& action : event.actions) visit_action(archive, action);
     if (event.kind != EventKind::reconfigured) return;
-    // Settings that were added later follow the actions: older captures end there.
+    // Settings that were added later follow the actions; events of older captures end before them.
     visit_gossip_settings(archive, event.config);
     visit_subset_settings(archive, event.config);
 }
@@ -110,7 +110,7 @@
 
 void encode(const RecordedEvent& event, std::string& bytes) {
     ByteWriter writer(bytes);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): a writer changes nothing.
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast): a ByteWriter does not modify the event.
     visit_event(writer, const_cast<RecordedEvent&>(event));
 }
 
--- a/src/capture/event_codec.h
+++ b/src/capture/event_codec.h
@@ -1,5 +1,6 @@
 /// \file
-/// Recorded events as bytes: the frames of a capture. docs/capture-format.md describes them.
+/// Encodes recorded events as bytes, the frames of a capture, and decodes them. docs/capture-format.md
+/// describes them.
 #pragma once
 #include <string>
 #include <string_view>
@@ -11,7 +12,7 @@
 /// Appends the event, with its actions, to `bytes`.
 void encode(const RecordedEvent& event, std::string& bytes);
 
-/// The event that encode() wrote. Throws ParseError where the bytes are cut off or garbled.
+/// Returns the event that encode() wrote. Throws ParseError if the bytes are truncated or corrupt.
 [[nodiscard]] RecordedEvent decode(std::string_view bytes);
 
 }  // namespace headrouter::capture
--- a/src/capture/event_fields.h
+++ b/src/capture/event_fields.h
@@ -1,6 +1,6 @@
 /// \file
-/// The fields of the plain types that the policy's events carry, in the order of their bytes. Captures of
-/// earlier builds have the same order: a new field goes to the end of the whole state or event.
+/// Lists the fields of the plain types in the policy's events, in the order of their bytes. The order is
+/// fixed by existing captures: a new field goes to the end of the whole policy state or event.
 #pragma once
 #include "capture/archive.h"
 #include "policy/policy_config.h"
@@ -19,8 +19,8 @@
     visit(request_class.message_objective);
 }
 
-/// The settings of the first form; the others follow at the places that visit_gossip_settings() and
-/// visit_subset_settings() are called from.
+/// Visits the settings of the original layout. Later settings are elsewhere in the bytes: where
+/// visit_gossip_settings() and visit_subset_settings() are called.
 template <class Visitor>
 void for_each_field(PolicyConfig& config, Visitor visit) {
     visit(config.request_classes);
@@ -73,7 +73,7 @@
     visit(attempt.established);
 }
 
-/// A request as it was asked for, and the policy's record of it.
+/// Visits a request as it arrived, followed by the policy's record of it.
 template <class Visitor>
 void for_each_field(RequestState& request, Visitor visit) {
     visit(request.id);
@@ -96,7 +96,7 @@
     visit(unused);
 }
 
-/// The request of an event has the same form, with a record that is still empty.
+/// Visits the request of an event in the layout of RequestState, with an empty record.
 template <class Archive>
 void visit(Archive& archive, Request& request) {
     RequestState state(request);
--- a/src/capture/event_text.cpp
+++ b/src/capture/event_text.cpp
@@ -22,7 +22,7 @@
 
 double to_milliseconds(Duration duration) { return to_seconds(duration) * milliseconds_per_second; }
 
-bool is_of_attempt(const RecordedEvent& event) {
+bool concerns_attempt(const RecordedEvent& event) {
     return event.kind == EventKind::attempt_established || event.kind == EventKind::attempt_ended;
 }
 
@@ -60,7 +60,7 @@
         event.kind == EventKind::request_arrived || event.kind == EventKind::request_adopted;
     if (has_request) describe_request(out, event.request);
     if (event.request_id) out << " for request " << event.request_id;
-    if (is_of_attempt(event))
+    if (concerns_attempt(event))
         out << ", attempt " << event.attempt << " after " << to_milliseconds(event.duration) << " ms";
     if (has_outcome(event))
         out << ": " << outcome_names[static_cast<size_t>(event.outcome)] << (event.is_final ? ", final" : "");
--- a/src/capture/event_text.h
+++ b/src/capture/event_text.h
@@ -1,5 +1,5 @@
 /// \file
-/// Recorded events and actions in words, for the output of headrouter_replay.
+/// Describes recorded events and actions as text, for the output of headrouter_replay.
 #pragma once
 #include <string>
 
@@ -9,10 +9,10 @@
 
 [[nodiscard]] const char* name_of(EventKind kind);
 
-/// One line: the event and its fields, without its actions.
+/// Returns one line: the event and its fields, without its actions.
 [[nodiscard]] std::string describe(const RecordedEvent& event);
 
-/// One line.
+/// Returns one line: the action and its fields.
 [[nodiscard]] std::string describe(const RecordedAction& action);
 
 }  // namespace headrouter::capture
--- a/src/capture/explain.cpp
+++ b/src/capture/explain.cpp
@@ -21,7 +21,8 @@
                        [&](const RecordedAction& action) { return concerns(action, request_id); });
 }
 
-// Whether the policy decided where the request goes, or that it goes nowhere.
+// Returns whether the policy, on this event, acted on the request in any way but to migrate it: chose a
+// server, rejected the request or failed it.
 bool decides_on(const RecordedEvent& event, RequestId request_id) {
     return std::any_of(event.actions.begin(), event.actions.end(), [&](const RecordedAction& action) {
         return concerns(action, request_id) && action.kind != RecordedAction::Kind::migrate;
@@ -41,7 +42,7 @@
 
 Explanation explain(const std::vector<std::string>& paths, RequestId request_id) {
     std::ostringstream text;
-    std::string fleet;  // as the policy knew it before the event
+    std::string fleet;  // the policy's view of the fleet before the event
     ReplayObserver observer;
     observer.before_event = [&](ReplayedPolicy& replayed, const RecordedEvent& event) {
         if (concerns(event, request_id)) fleet = describe_fleet_before(replayed.policy(), event, request_id);
--- a/src/capture/explain.h
+++ b/src/capture/explain.h
@@ -1,5 +1,6 @@
 /// \file
-/// Why a request was decided on as it was: the events that concern it, and what the policy knew of the fleet.
+/// Explains the decisions on a request: lists the events that concern the request, and the policy's view of
+/// the fleet at each decision.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,14 +9,14 @@
 
 namespace headrouter::capture {
 
-/// What a capture tells of one request.
+/// Holds the events and decisions that a capture has of one request.
 struct Explanation {
     ReplayResult result;
-    std::string text;  ///< empty: the request is not in the capture
+    std::string text;  ///< empty if the request is not in the capture
 };
 
-/// All events that touch the request, with what the policy knew each time it was placed. Throws
-/// std::system_error where a file cannot be read.
+/// Returns all events that concern the request, with the policy's view of the fleet before each decision on
+/// where the request goes. Throws std::system_error if a file cannot be read.
 [[nodiscard]] Explanation explain(const std::vector<std::string>& paths, RequestId request_id);
 
 }  // namespace headrouter::capture
--- a/src/capture/fleet_description.cpp
+++ b/src/capture/fleet_description.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Reasons, separated by commas.
+// Collects reasons in one text, separated by commas.
 class Reasons {
    public:
     void add_if(bool applies, const char* reason) {
@@ -49,7 +49,8 @@
     [[nodiscard]] std::string summary() const {
         std::array<char, line_bytes> line{};
         std::snprintf(line.data(), line.size(),
-                      "  own load %.2f with it, %d servers may take it, %d of them at their ceilings%s\n",
+                      "  own load %.2f including this request, %d servers may take it, %d of them at their "
+                      "ceilings%s\n",
                       fleet_.total_load, fleet_.open_servers, fleet_.slow_servers,
                       fleet_.is_mostly_slow ? "; much of the fleet is slow" : "");
         return line.data();
@@ -72,7 +73,7 @@
         return line.data() + reasons_against(index, server) + "\n";
     }
 
-    // Null where the server needs no look of its own.
+    // Returns null for a server without an entry in the view's list of degraded servers.
     [[nodiscard]] const FleetView::DegradedServer* degraded(const ServerState& server) const {
         return server.degraded_index ? &fleet_.degraded[*server.degraded_index] : nullptr;
     }
@@ -96,14 +97,15 @@
         const FleetView::DegradedServer* const view = degraded(server);
         const std::optional<double> limit = load_limit(server);
         Reasons reasons;
-        reasons.add_if(state == EndpointState::draining, "drains");
-        reasons.add_if(state == EndpointState::removed, "gone from the list");
-        reasons.add_if(index == fleet_.excluded_server, "its last leg failed here");
-        reasons.add_if(outliers.is_ejected(now_), "out of the shares for terms");
+        reasons.add_if(state == EndpointState::draining, "draining");
+        reasons.add_if(state == EndpointState::removed, "removed from the endpoint list");
+        reasons.add_if(index == fleet_.excluded_server, "the previous attempt of this request failed here");
+        reasons.add_if(outliers.is_ejected(now_), "ejected");
         reasons.add_if(outliers.is_in_backoff(now_), "skipped after failures");
-        reasons.add_if(outliers.is_failing() && server.pending_attempts > 0, "failing: one leg at a time");
+        reasons.add_if(outliers.is_failing() && server.pending_attempts > 0,
+                       "failing: one attempt at a time");
         reasons.add_if(parts_.warmup.is_cold(now_, server), "cold");
-        reasons.add_if(view && view->is_counted && !view->is_open, "cold budget spent");
+        reasons.add_if(view && view->is_counted && !view->is_open, "no warm-up permit for this request");
         reasons.add_if(limit && parts_.loads.load_on(server) > *limit, "over its ceiling");
         return reasons.text();
     }
@@ -116,7 +118,8 @@
 }  // namespace
 
 std::string describe_fleet(const BalancingPolicy& policy, TimePoint now, const RequestState& request) {
-    // A view forgets servers that have recovered, so it is taken of a copy.
+    // Computing a view removes recovered servers from the policy's list of degraded servers, so the view is
+    // computed on a copy.
     ReplayedPolicy copy;
     copy.restore(state_of(policy));
     return FleetDescription(copy.policy().parts(), now, request).text();
--- a/src/capture/fleet_description.h
+++ b/src/capture/fleet_description.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the policy knows of its fleet, as a table for people.
+/// Describes the policy's view of its fleet as a readable table.
 #pragma once
 #include <string>
 
@@ -7,8 +7,9 @@
 
 namespace headrouter::capture {
 
-/// A row for each server as `request` would find it at `now`: load, share, load limit, failure penalty, slow
-/// start factor, connections, and why the request may not go there. The policy is not changed.
+/// Returns a row for each server as placement of `request` at `now` would see the server: load, share, load
+/// limit, failure penalty, slow start factor, connections, and the reasons against sending the request there.
+/// The policy does not change.
 [[nodiscard]] std::string describe_fleet(const BalancingPolicy& policy, TimePoint now,
                                          const RequestState& request);
 
--- a/src/capture/policy_form.h
+++ b/src/capture/policy_form.h
@@ -1,6 +1,6 @@
 /// \file
-/// The state of a whole policy as bytes, in the layout of state version 1: it has fields of several
-/// components in turn, and later additions at its end, where older bytes end.
+/// Serializes the whole state of a policy, in the layout of state version 1. Fields of several components
+/// alternate in this layout. Fields that were added later are at the end, which older bytes do not have.
 #pragma once
 #include <utility>
 
@@ -61,7 +61,7 @@
 }
 
 template <class Archive>
-void visit_first_form(Archive& archive, BalancingPolicy::State& policy) {
+void visit_original_fields(Archive& archive, BalancingPolicy::State& policy) {
     ServerTable::State& servers = policy.servers;
     visit(archive, policy.config);
     visit(archive, policy.random);
@@ -131,10 +131,10 @@
     }
 }
 
-/// Every field of the policy. One that is left out shows in the test that replays from a state.
+/// Visits every field of the policy. A test that replays from a state fails if a field is missing here.
 template <class Archive>
 void visit(Archive& archive, BalancingPolicy::State& policy) {
-    visit_first_form(archive, policy);
+    visit_original_fields(archive, policy);
     if (!has_more(archive)) return;
     visit_gossip(archive, policy);
     if (!has_more(archive)) return;
--- a/src/capture/recorded_event.h
+++ b/src/capture/recorded_event.h
@@ -1,5 +1,5 @@
 /// \file
-/// One event of the decision policy, with all actions by which the policy answered it.
+/// Defines an event of the balancing policy with the actions that the policy took on it.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace headrouter::capture {
 
-/// The policy's events. The numbers stand in captures: new ones come before `count`.
+/// The policy's events. Captures store the numbers: new enumerators are added just before `count`.
 enum class EventKind : uint8_t {
     request_arrived,
     request_adopted,
@@ -21,14 +21,14 @@
     endpoints,
     reconfigured,
     timer,
-    probe,  ///< in older captures only; the policy asks for none
+    probe,  ///< only in captures of older builds; the policy no longer sends probes
     gossip,
     count
 };
 
 /// An action of the policy; which fields are set depends on its kind.
 struct RecordedAction {
-    /// The numbers stand in captures: new ones come before `count`.
+    /// Captures store the numbers: new enumerators are added just before `count`.
     enum class Kind : uint8_t {
         start_attempt,
         reject,
@@ -43,10 +43,10 @@
     Kind kind = Kind::start_attempt;
     RequestId request_id = 0;
     ServerId server{};
-    Duration duration{};    ///< an attempt's timeout; the retry-after of a reject
+    Duration duration{};    ///< the timeout of an attempt, or the retry-after of a reject
     TimePoint at{};         ///< when a timer is due
-    uint64_t token = 0;     ///< of a timer
-    int replica_index = 0;  ///< of the balancer that the gossip is for
+    uint64_t token = 0;     ///< identifies the timer
+    int replica_index = 0;  ///< of the balancer that receives the gossip
     std::string gossip{};
 
     bool operator==(const RecordedAction&) const = default;
@@ -57,21 +57,21 @@
     EventKind kind = EventKind::timer;
     TimePoint at;  ///< on the policy's clock
     RequestId request_id = 0;
-    Request request;  ///< one that arrived or was adopted
+    Request request;  ///< the request that arrived or was adopted
     ServerId server;
     int attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::completed;
     Duration duration;  ///< since the attempt was started
     bool is_final = false;
     LoadReport report;
-    double value = 0;  ///< of a load report, in microseconds a second; of a latency report, in milliseconds
+    double value = 0;  ///< load in microseconds of work per second, or latency in milliseconds
     EndpointUpdateKind update_kind = EndpointUpdateKind::delta;
     std::vector<Endpoint> endpoints;
     PolicyConfig config;
-    uint64_t token = 0;     ///< of a timer
+    uint64_t token = 0;     ///< identifies the timer
     int replica_index = 0;  ///< of the balancer that sent the gossip
     std::string gossip;
-    std::vector<RecordedAction> actions;  ///< what the policy did, in order
+    std::vector<RecordedAction> actions;  ///< the policy's actions on the event, in order
 };
 
 }  // namespace headrouter::capture
--- a/src/capture/recorder.cpp
+++ b/src/capture/recorder.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-// An event is on the disk after so long.
+// Limits how long an event waits in the open block before the block is queued for writing.
 constexpr Duration max_block_age = seconds(1);
 
-// How long the end of a recording may take.
-constexpr std::chrono::seconds ending_timeout{2};
+// Limits how long the destructor writes queued blocks.
+constexpr std::chrono::seconds stop_timeout{2};
 
-// After a segment could not be begun: not a try for every block.
+// Pause after a failure to begin a segment, so that the writer does not retry for every block.
 constexpr std::chrono::seconds retry_pause{1};
 
 int64_t unix_milliseconds() {
@@ -25,15 +25,16 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
 }
 
-// Only tells recordings apart.
+// Returns an id that only distinguishes recordings.
 uint64_t random_capture_id() {
-    constexpr int bits_of_half = 32;
+    constexpr int bits_per_half = 32;
     std::random_device random;
     const uint64_t high = random();
-    return high << bits_of_half | random();
+    return high << bits_per_half | random();
 }
 
-// Blocks all signals for the threads that are started meanwhile: signals are the balancer's own thread's.
+// Blocks all signals in threads that are started during its lifetime, so that the balancer's own thread
+// receives them.
 class BlockedSignals {
    public:
     BlockedSignals() {
@@ -61,10 +62,10 @@
 }
 
 Recorder::~Recorder() {
-    hand_over_open_block();
+    queue_open_block();
     {
         const std::lock_guard lock(mutex_);
-        is_ending_ = true;
+        is_stopping_ = true;
     }
     wake_.notify_all();
     thread_.join();
@@ -82,14 +83,14 @@
 }
 
 void Recorder::begin_segment(TimePoint now, std::string state) {
-    hand_over_open_block();
+    queue_open_block();
     faults_seen_ = faults_.load();
     header_.unix_ms = unix_milliseconds();
     header_.begins = now;
     QueuedBlock queued;
     queued.header = header_;
     queued.block.kind = BlockKind::state;
-    queued.block.count = missing_;  // lost before it
+    queued.block.count = missing_frames_;  // lost before this state
     queued.block.first = now;
     queued.block.last = now;
     queued.block.bytes = std::move(state);
@@ -97,14 +98,14 @@
     segment_begin_ = now;
     wants_state_ = !enqueue(std::move(queued));
     if (wants_state_) return;
-    missing_ = 0;
+    missing_frames_ = 0;
     ++header_.segment;
 }
 
 void Recorder::record(TimePoint now, std::string_view event) {
     ++frames_;
-    if (wants_state_) {  // the disk took not even the state
-        ++missing_;
+    if (wants_state_) {  // the state could not be queued: the queue is full
+        ++missing_frames_;
         ++dropped_;
         return;
     }
@@ -113,25 +114,25 @@
     ++open_block_.count;
     append_frame(open_block_.bytes, event);
     const bool is_full = open_block_.bytes.size() >= target_block_bytes;
-    if (is_full || now - open_block_.first >= max_block_age) hand_over_open_block();
+    if (is_full || now - open_block_.first >= max_block_age) queue_open_block();
     if (segment_bytes_ >= config_.segment_bytes || now - segment_begin_ >= config_.segment_age)
         wants_state_ = true;
 }
 
 void Recorder::tick(TimePoint now) {
-    if (!open_block_.bytes.empty() && now - open_block_.first >= max_block_age) hand_over_open_block();
+    if (!open_block_.bytes.empty() && now - open_block_.first >= max_block_age) queue_open_block();
 }
 
-void Recorder::hand_over_open_block() {
+void Recorder::queue_open_block() {
     if (open_block_.bytes.empty()) return;
     segment_bytes_ += open_block_.bytes.size();
     const uint32_t frames = open_block_.count;
     QueuedBlock queued;
     queued.block = std::exchange(open_block_, Block{});
     if (enqueue(std::move(queued))) return;
-    // What comes after makes no sense without it: a state begins anew.
+    // Later events cannot be replayed without the dropped block, so a new segment begins with a state.
     dropped_ += frames;
-    missing_ += frames;
+    missing_frames_ += frames;
     wants_state_ = true;
 }
 
@@ -153,14 +154,14 @@
     writer_.finish();
 }
 
-// The next block; nothing at the end of the recording.
+// Returns the next block, or nothing at the end of the recording.
 std::optional<Recorder::QueuedBlock> Recorder::wait_for_next() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [&] { return is_ending_ || (!queue_.empty() && !is_stalled_); });
-    if (is_ending_) {
+    wake_.wait(lock, [&] { return is_stopping_ || (!queue_.empty() && !is_stalled_); });
+    if (is_stopping_) {
         const auto now = std::chrono::steady_clock::now();
-        if (!ending_deadline_) ending_deadline_ = now + ending_timeout;
-        if (queue_.empty() || now > *ending_deadline_) return std::nullopt;
+        if (!stop_deadline_) stop_deadline_ = now + stop_timeout;
+        if (queue_.empty() || now > *stop_deadline_) return std::nullopt;
     }
     QueuedBlock next = std::move(queue_.front());
     queue_.pop_front();
@@ -170,20 +171,20 @@
 
 void Recorder::write(const QueuedBlock& queued) {
     const bool begins_segment = queued.block.kind == BlockKind::state;
-    if (!begins_segment && !writer_.is_open()) return;  // of a segment that could not be written
+    if (!begins_segment && !writer_.is_open()) return;  // this block's segment could not be written
     try {
         if (begins_segment)
             writer_.begin(queued.header, queued.block);
         else
             writer_.append(queued.block);
     } catch (const std::system_error& error) {
-        note_fault(error.what());
+        record_fault(error.what());
         std::unique_lock lock(mutex_);
-        if (begins_segment) wake_.wait_for(lock, retry_pause, [&] { return is_ending_; });
+        if (begins_segment) wake_.wait_for(lock, retry_pause, [&] { return is_stopping_; });
     }
 }
 
-void Recorder::note_fault(const std::string& reason) {
+void Recorder::record_fault(const std::string& reason) {
     const std::lock_guard lock(mutex_);
     last_fault_ = reason;
     ++faults_;
--- a/src/capture/recorder.h
+++ b/src/capture/recorder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Recording of the policy's events to a folder.
+/// Records the policy's events to a folder.
 #pragma once
 #include <atomic>
 #include <condition_variable>
@@ -16,24 +16,26 @@
 
 namespace headrouter::capture {
 
-/// Where and how a recorder writes.
+/// Folder, segment limits and retention of a recorder.
 struct RecorderConfig {
     std::string folder;
-    size_t segment_bytes = 16 << 20;  ///< before compression; a new segment begins after
+    size_t segment_bytes = 16 << 20;  ///< size, before compression, at which a new segment begins
     Duration segment_age = seconds(600);
-    size_t keep_bytes = size_t{1} << 30;  ///< of all segments in the folder; the oldest go first
+    size_t keep_bytes = size_t{1} << 30;  ///< of all segments in the folder; the oldest are removed first
     Duration keep_age = seconds(7 * 86400);
-    size_t queue_bytes = 8 << 20;  ///< waiting for the disk
+    size_t queue_bytes = 8 << 20;  ///< limit of the blocks that wait for the writer thread
 };
 
-/// Writes events from a thread of its own: the balancer's thread hands over blocks and never waits. Where the
-/// disk does not keep up, or fails, blocks are dropped, a gap tells how many events, and recording begins
-/// again with the whole state in a new segment. All public functions are called on the policy's thread.
+/// Writes events on a thread of its own, so that the balancer's thread only queues blocks and never waits for
+/// the disk. If the disk is too slow or fails, blocks are dropped, a gap block holds the number of lost
+/// events, and recording resumes with the whole state in a new segment. All public functions are called on
+/// the policy's thread.
 class Recorder : public EventRecorder {
    public:
-    /// `name` is the balancer's, `build` the program's version; both stand in the segments' headers.
+    /// `name` is the name of the balancer, `build` the version of the program; each segment header holds
+    /// both.
     Recorder(RecorderConfig config, std::string name, std::string build);
-    /// Writes what waits, for a bounded time.
+    /// Writes the queued blocks, for a bounded time.
     ~Recorder() override;
     Recorder(const Recorder&) = delete;
     Recorder& operator=(const Recorder&) = delete;
@@ -42,43 +44,44 @@
     void begin_segment(TimePoint now, std::string state) override;
     void record(TimePoint now, std::string_view event) override;
 
-    /// A new segment begins with the next event.
+    /// Makes a new segment begin with the next event.
     void rotate() { wants_state_ = true; }
-    /// Called a few times a second: hands over what has waited for a second.
+    /// Queues the open block for writing if the block is a second old. Called a few times per second.
     void tick(TimePoint now);
 
-    /// Events recorded, dropped ones included.
+    /// Returns the number of recorded events, including dropped ones.
     [[nodiscard]] uint64_t frames() const { return frames_; }
     [[nodiscard]] uint64_t dropped() const { return dropped_; }
-    /// Failures of the disk, and the latest one's text for the log.
+    /// Returns the number of write failures.
     [[nodiscard]] uint64_t faults() const { return faults_.load(); }
+    /// Returns the message of the latest write failure, for the log.
     [[nodiscard]] std::string last_fault() const;
 
-    /// For tests: as if the disk took nothing.
+    /// For tests: makes the writer thread write nothing, as with a stalled disk.
     void stall_for_test(bool is_stalled);
 
    private:
-    // What the writer's thread is to write next.
+    // A block that waits for the writer thread.
     struct QueuedBlock {
-        SegmentHeader header;  // of a state, which begins a segment
+        SegmentHeader header;  // set for a state block, which begins a segment
         Block block;
     };
 
-    void hand_over_open_block();
+    void queue_open_block();
     [[nodiscard]] bool enqueue(QueuedBlock queued);
     void run_writer();
     std::optional<QueuedBlock> wait_for_next();
     void write(const QueuedBlock& queued);
-    void note_fault(const std::string& reason);
+    void record_fault(const std::string& reason);
 
-    // Of the policy's thread.
+    // Used by the policy's thread only.
     RecorderConfig config_;
     SegmentHeader header_;
     bool wants_state_ = true;
     uint64_t faults_seen_ = 0;
     uint64_t frames_ = 0;
     uint64_t dropped_ = 0;
-    uint32_t missing_ = 0;  // frames dropped since the last state
+    uint32_t missing_frames_ = 0;  // dropped since the last state was queued
     size_t segment_bytes_ = 0;
     TimePoint segment_begin_;
     Block open_block_;
@@ -88,15 +91,15 @@
     std::condition_variable wake_;
     std::deque<QueuedBlock> queue_;
     size_t queued_bytes_ = 0;
-    bool is_ending_ = false;
+    bool is_stopping_ = false;
     bool is_stalled_ = false;
     std::string last_fault_;
     std::atomic<uint64_t> faults_{0};
 
-    // Of the writer's thread.
+    // Used by the writer thread only.
     SegmentWriter writer_;
-    std::optional<std::chrono::steady_clock::time_point> ending_deadline_;
-    std::thread thread_;  // last: it uses what stands above
+    std::optional<std::chrono::steady_clock::time_point> stop_deadline_;
+    std::thread thread_;  // last: the thread uses the members above
 };
 
 }  // namespace headrouter::capture
--- a/src/capture/recording_policy.cpp
+++ b/src/capture/recording_policy.cpp
@@ -21,7 +21,7 @@
     recorder_->record(event_.at, bytes_);
 }
 
-// The fields are set before the event is delivered, as the policy may take the values over.
+// The fields are set before the event is delivered, since delivery may move the values into the policy.
 template <class SetFields, class Deliver>
 void RecordingPolicy::record_and_deliver(EventKind kind, TimePoint now, SetFields set_fields,
                                          Deliver deliver_to_policy) {
@@ -127,18 +127,18 @@
 }
 
 bool RecordingPolicy::on_gossip(TimePoint now, int replica_index, const std::string& bytes) {
-    bool is_understood = false;
+    bool is_accepted = false;
     record_and_deliver(
         EventKind::gossip, now,
         [&](RecordedEvent& event) {
             event.replica_index = replica_index;
             event.gossip = bytes;
         },
-        [&] { is_understood = policy_.on_gossip(now, replica_index, bytes); });
-    return is_understood;
+        [&] { is_accepted = policy_.on_gossip(now, replica_index, bytes); });
+    return is_accepted;
 }
 
-// The policy's actions: recorded, where an event is, and forwarded.
+// Each action of the policy is forwarded, and recorded if an event is being recorded.
 
 void RecordingPolicy::start_attempt(RequestId id, const ServerId& server, Duration timeout) {
     if (is_recording_event_) event_actions_.start_attempt(id, server, timeout);
--- a/src/capture/recording_policy.h
+++ b/src/capture/recording_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// A policy whose events and actions can be recorded.
+/// Wraps the balancing policy so that its events and actions can be recorded.
 #pragma once
 #include <string>
 #include <string_view>
@@ -11,26 +11,27 @@
 
 namespace headrouter::capture {
 
-/// Where events are recorded. Used on the policy's thread.
+/// Receives recorded events. Used on the policy's thread.
 class EventRecorder {
    public:
     virtual ~EventRecorder() = default;
-    /// Whether begin_segment() is to be called before the next event.
+    /// Returns whether begin_segment() must be called before the next event.
     [[nodiscard]] virtual bool wants_state() const = 0;
-    /// `state`: the policy's whole state at `now`, before the next event.
+    /// Begins a segment. `state` is the policy's whole state at `now`, before the next event.
     virtual void begin_segment(TimePoint now, std::string state) = 0;
-    /// An event with its actions, as encode() writes it.
+    /// Records an event with its actions, in the bytes that encode() writes.
     virtual void record(TimePoint now, std::string_view event) = 0;
 };
 
-/// Owns the policy and is the only way to it. Forwards each event to the policy and each action to `actions`,
-/// and records both while there is a recorder. The events are those of BalancingPolicy.
+/// Owns the policy and is the only access to it. Forwards each event to the policy and each action to
+/// `actions`, and records both while a recorder is set. The events are those of BalancingPolicy.
 class RecordingPolicy : private PolicyActions {
    public:
     RecordingPolicy(PolicyConfig config, uint64_t seed, PolicyActions& actions, TimePoint now)
         : actions_(actions), policy_(std::move(config), seed, *this, now) {}
 
-    /// Records from the next event on; null ends the recording. The recorder must outlive its use here.
+    /// Sets the recorder, from the next event on; null ends the recording. The recorder must outlive its use
+    /// here.
     void record_to(EventRecorder* recorder) { recorder_ = recorder; }
 
     void on_request(TimePoint now, Request request);
@@ -39,23 +40,24 @@
     void on_attempt_established(TimePoint now, RequestId id, int attempt, Duration duration);
     void on_attempt_ended(TimePoint now, RequestId id, int attempt, AttemptOutcome outcome, Duration duration,
                           bool is_final, const LoadReport& report);
-    /// `load` in microseconds of work a second.
+    /// `load` is in microseconds of work per second.
     void on_load_report(TimePoint now, RequestId id, double load);
-    /// `latency` in milliseconds.
+    /// `latency` is in milliseconds.
     void on_latency_report(TimePoint now, const ServerId& server, double latency);
     void on_endpoints(TimePoint now, EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints);
     void reconfigure(TimePoint now, PolicyConfig config);
     void on_timer(TimePoint now, uint64_t token);
-    /// False where the message was not understood; nothing was done then.
+    /// Returns false, with the policy unchanged, if the message is malformed.
     bool on_gossip(TimePoint now, int replica_index, const std::string& bytes);
 
     [[nodiscard]] const PolicyConfig& config() const { return policy_.config(); }
-    /// Whether an endpoint list has ever named the server.
+    /// Returns whether any endpoint list has named the server.
     [[nodiscard]] bool has_server(const ServerId& id) const { return policy_.has_server(id); }
-    /// Listed servers that would get no new connection now.
+    /// Returns the number of listed servers that would get no new connection at `now`.
     [[nodiscard]] int count_unselectable(TimePoint now) const { return policy_.count_unselectable(now); }
 
-    /// For a hot restart. The state is restored before any event; throws ParseError as capture::restore().
+    /// Save and restore the state in a hot restart. The state is restored before the first event; restore()
+    /// throws ParseError under the same conditions as capture::restore().
     [[nodiscard]] std::string state() const { return state_of(policy_); }
     void restore(std::string_view state) { capture::restore(policy_, state); }
 
@@ -75,11 +77,11 @@
 
     PolicyActions& actions_;
     EventRecorder* recorder_ = nullptr;
-    RecordedEvent event_;  // the one that is being recorded
+    RecordedEvent event_;  // the event that is being recorded
     bool is_recording_event_ = false;
-    ActionRecorder event_actions_;  // the policy's actions on it
-    std::string bytes_;             // its bytes; a member so that their memory is used again
-    BalancingPolicy policy_;        // last: it sets its first timer while it is constructed
+    ActionRecorder event_actions_;  // the policy's actions on the event
+    std::string bytes_;             // encoded event; a member so that its memory is reused
+    BalancingPolicy policy_;        // last: its constructor sets a timer through the members above
 };
 
 }  // namespace headrouter::capture
--- a/src/capture/replay.cpp
+++ b/src/capture/replay.cpp
@@ -14,9 +14,9 @@
 namespace headrouter::capture {
 
 void ReplayedPolicy::restore(std::string_view state) {
-    PolicyConfig any;  // the state brings its own
-    any.request_classes.resize(1);
-    policy_ = std::make_unique<BalancingPolicy>(any, 0, actions_, TimePoint{});
+    PolicyConfig placeholder;  // replaced by the configuration in the state
+    placeholder.request_classes.resize(1);
+    policy_ = std::make_unique<BalancingPolicy>(placeholder, 0, actions_, TimePoint{});
     capture::restore(*policy_, state);
     actions_.clear();
 }
@@ -38,7 +38,7 @@
 
 namespace {
 
-// The first action in which `actions` are not those of the recorded event.
+// Describes the first action in which `actions` differ from those of the recorded event.
 std::string describe_difference(const RecordedEvent& event, const std::vector<RecordedAction>& actions) {
     const auto [recorded, replayed] =
         std::mismatch(event.actions.begin(), event.actions.end(), actions.begin(), actions.end());
@@ -58,12 +58,12 @@
     ReplayResult run(const std::vector<std::string>& paths) {
         for (const std::string& path : paths)
             if (!replay_segment(path, &path == &paths.back())) return std::move(result_);
-        if (result_.segments == 0) stop_incomplete("no segments");
+        if (result_.segments == 0) stop_incomplete("the capture has no segments");
         return std::move(result_);
     }
 
    private:
-    // Each of these returns whether the replay goes on.
+    // Each of these functions returns whether the replay continues.
 
     bool stop_incomplete(std::string reason) {
         result_.outcome = ReplayResult::Outcome::incomplete;
@@ -79,7 +79,7 @@
 
     bool replay_segment(const std::string& path, bool is_last) {
         path_ = &path;
-        continues_segment_before_ = false;
+        continues_previous_segment_ = false;
         is_stopped_ = false;
         const SegmentReadResult read = read_segment_file(
             path, [&](const SegmentHeader& header) { on_header(header); },
@@ -91,17 +91,17 @@
         if (read.end == SegmentEnd::complete) return true;
         const std::string reason =
             path + ": " + name_of(read.end) + " at byte " + std::to_string(read.offset) + ": " + read.reason;
-        // A segment whose writer was killed between two blocks is complete as far as it goes; the next begins
-        // anew.
+        // A segment whose writer was killed between two blocks has no damaged block, and the next segment
+        // begins with its own state, so the replay continues there.
         if (read.end != SegmentEnd::open || is_last) return stop_incomplete(reason);
         result_.reason = reason;
         return true;
     }
 
     void on_header(const SegmentHeader& header) {
-        continues_segment_before_ = result_.segments > 0 && header.capture == header_before_.capture &&
-                                    header.segment == header_before_.segment + 1;
-        header_before_ = header;
+        continues_previous_segment_ = result_.segments > 0 && header.capture == previous_header_.capture &&
+                                      header.segment == previous_header_.segment + 1;
+        previous_header_ = header;
         ++result_.segments;
     }
 
@@ -116,29 +116,29 @@
 
     bool on_gap(const Block& gap) {
         result_.missing_events += gap.count;
-        continues_segment_before_ = false;
-        if (!policy_.is_restored()) return true;  // before the first state: nothing was replayed yet
+        continues_previous_segment_ = false;
+        if (!policy_.is_restored()) return true;  // the replay begins with the next state
         return stop_incomplete(*path_ + ": a gap of " + std::to_string(gap.count) +
                                " events before this segment");
     }
 
     bool on_state(const std::string& state) {
-        const bool is_known = continues_segment_before_ && policy_.is_restored();
-        if (is_known && policy_.state() != state)
-            return stop_different(*path_ +
-                                  ": the state at its head is not the one that the segment before leads to");
+        const bool is_comparable = continues_previous_segment_ && policy_.is_restored();
+        if (is_comparable && policy_.state() != state)
+            return stop_different(
+                *path_ + ": the state at its head differs from the state that the previous segment ends in");
         policy_.restore(state);
         return true;
     }
 
     bool on_frames(const std::string& frames) {
-        if (!policy_.is_restored()) throw ParseError("frames before a state");
-        bool goes_on = true;
+        if (!policy_.is_restored()) throw ParseError("a block of frames comes before the first state");
+        bool keep_going = true;
         for_each_frame(frames, [&](std::string_view frame) {
-            goes_on = on_event(decode(frame));
-            return goes_on;
+            keep_going = on_event(decode(frame));
+            return keep_going;
         });
-        return goes_on;
+        return keep_going;
     }
 
     bool on_event(const RecordedEvent& event) {
@@ -156,9 +156,9 @@
     const ReplayObserver& observer_;
     ReplayResult result_;
     ReplayedPolicy policy_;
-    SegmentHeader header_before_;
+    SegmentHeader previous_header_;
     const std::string* path_ = nullptr;  // of the segment that is being replayed
-    bool continues_segment_before_ = false;
+    bool continues_previous_segment_ = false;
     bool is_stopped_ = false;
 };
 
--- a/src/capture/replay.h
+++ b/src/capture/replay.h
@@ -1,5 +1,5 @@
 /// \file
-/// Replay of captures: the same policy, told the same events, must do the same.
+/// Replays captures: the policy must answer the recorded events with the recorded actions.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,17 +15,18 @@
 
 namespace headrouter::capture {
 
-/// A policy restored from a captured state; it carries nothing out.
+/// Holds a policy restored from a captured state. The policy's actions are collected, not executed.
 class ReplayedPolicy {
    public:
-    /// Throws ParseError where `state` is no policy's.
+    /// Restores the policy. Throws ParseError if `state` is not a valid policy state.
     void restore(std::string_view state);
     [[nodiscard]] bool is_restored() const { return policy_ != nullptr; }
 
-    // What follows is for a restored policy only.
+    // The functions below require a restored policy.
     [[nodiscard]] std::string state() const { return state_of(*policy_); }
     [[nodiscard]] BalancingPolicy& policy() { return *policy_; }
-    /// What the policy does on the event; valid until the next one. Throws ParseError as capture::deliver().
+    /// Delivers the event and returns the policy's actions, which are valid until the next call. Throws
+    /// ParseError under the same conditions as capture::deliver().
     const std::vector<RecordedAction>& deliver(const RecordedEvent& event);
 
    private:
@@ -33,36 +34,36 @@
     std::unique_ptr<BalancingPolicy> policy_;
 };
 
+/// Outcome and counts of a replay.
 struct ReplayResult {
     enum class Outcome {
         same,
-        differs,    ///< an action, or the state at the head of a segment
-        incomplete  ///< replayed as far as it goes: truncated, damaged, too new, or a gap
+        differs,    ///< an action, or the state at the start of a segment, is not the recorded one
+        incomplete  ///< stopped early: no segment, truncated, damaged, too new, invalid, or a gap
     };
 
     Outcome outcome = Outcome::same;
     uint64_t events = 0;
     uint64_t actions = 0;
     uint64_t segments = 0;
-    uint64_t missing_events = 0;  ///< in gaps
+    uint64_t missing_events = 0;  ///< lost in gaps
     TimePoint first;              ///< when the first event happened
     TimePoint last;
-    std::string reason;  ///< the first difference with the event before it, or where the capture ended
+    std::string reason;  ///< first difference with its event, or where the capture ended
 };
 
-/// Sees the events of a replay; each function may be empty, and ends the replay by returning false.
+/// Callbacks on the events of a replay. Each may be empty, and ends the replay by returning false.
 struct ReplayObserver {
-    /// Before the policy is told of the event.
+    /// Called before the event is delivered to the policy.
     std::function<bool(ReplayedPolicy&, const RecordedEvent&)> before_event;
-    /// With what this build's policy did on it.
+    /// Called with the actions that this build's policy took on the event.
     std::function<bool(const RecordedEvent&, const std::vector<RecordedAction>&)> after_event;
 };
 
-/// Replays segments one after the other, until an action differs. Throws std::system_error where a file
-/// cannot be read.
+/// Replays segments in order, until an action differs. Throws std::system_error if a file cannot be read.
 [[nodiscard]] ReplayResult replay(const std::vector<std::string>& paths, const ReplayObserver& observer = {});
 
-/// read_segment() of a file. Throws std::system_error where it cannot be read.
+/// Calls read_segment() on a file. Throws std::system_error if the file cannot be read.
 SegmentReadResult read_segment_file(const std::string& path,
                                     const std::function<void(const SegmentHeader&)>& on_header,
                                     const std::function<bool(const Block&)>& on_block);
--- a/src/capture/segment.cpp
+++ b/src/capture/segment.cpp
@@ -14,7 +14,7 @@
 constexpr int compression_level = 1;  // the writer shares the machine with the balancer
 
 std::string compressed(std::string_view bytes) {
-    // A context costs more to make than a second's events to compress.
+    // The context is reused: creating one costs more than compressing the events of a second.
     using Context = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
     thread_local const Context context(ZSTD_createCCtx(), ZSTD_freeCCtx);
     std::string result(ZSTD_compressBound(bytes.size()), 0);
@@ -61,13 +61,13 @@
 void for_each_frame(std::string_view block_bytes, const std::function<bool(std::string_view)>& on_frame) {
     std::string_view rest = block_bytes;
     while (!rest.empty()) {
-        const auto place = [&] {
+        const auto describe_frame = [&] {
             return "the frame at offset " + std::to_string(block_bytes.size() - rest.size()) +
                    " of its block";
         };
         if (rest.size() < sizeof(uint32_t))
-            throw ParseError(place(), "is cut off", "its length in four bytes");
-        const std::string where = place();
+            throw ParseError(describe_frame(), "is cut off", "its length in four bytes");
+        const std::string where = describe_frame();
         const auto size = take_number<uint32_t>(rest);
         if (size > rest.size())
             throw ParseError(where, "has a length of " + std::to_string(size),
--- a/src/capture/segment_layout.h
+++ b/src/capture/segment_layout.h
@@ -1,5 +1,5 @@
 /// \file
-/// The bytes that the writer and the reader of segments agree on; private to these two.
+/// Defines the binary layout of segments; private to their writer and reader.
 #pragma once
 #include <cstdint>
 #include <cstring>
@@ -11,7 +11,7 @@
 
 namespace headrouter::capture {
 
-/// A reader understands every minor version of its major version.
+/// Version of the format. A reader understands every minor version of its major version.
 inline constexpr uint16_t format_major = 1;
 inline constexpr uint16_t format_minor = 0;
 
@@ -20,11 +20,11 @@
 
 using Checksum = uint64_t;
 
-/// Mark, versions and length of the header's text.
+/// Size of the mark, the versions and the length of the header's text.
 inline constexpr size_t segment_prefix_bytes =
     segment_mark.size() + sizeof(format_major) + sizeof(format_minor) + sizeof(uint32_t);
 
-/// Mark, kind, lengths, count, first and last time, and checksum.
+/// Size of a block's mark, kind, lengths, count, first and last time, and checksum.
 inline constexpr size_t block_prefix_bytes =
     block_mark.size() + sizeof(BlockKind) + 3 * sizeof(uint32_t) + 2 * sizeof(int64_t) + sizeof(Checksum);
 
@@ -38,7 +38,7 @@
     visit(header.begins);
 }
 
-/// `seed`: the checksum of what stands before the bytes.
+/// Returns the checksum of `bytes`. `seed` is the checksum of the bytes before them, to chain checksums.
 [[nodiscard]] Checksum checksum_of(std::string_view bytes, Checksum seed = 0);
 
 template <class Number>
@@ -46,7 +46,7 @@
     bytes.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
-/// Removes the number from the front of `bytes`, which must hold it.
+/// Removes a number from the front of `bytes` and returns it. `bytes` must be long enough.
 template <class Number>
 Number take_number(std::string_view& bytes) {
     Number value;
--- a/src/capture/segment_reader.cpp
+++ b/src/capture/segment_reader.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Longer than any writer makes them: a length beyond is damage, and no reason to make room.
+// Limits that no writer exceeds. A greater length is damage, and must not cause an allocation.
 constexpr uint32_t max_header_bytes = 4096;
 constexpr uint32_t max_compressed_bytes = 64 << 20;
 constexpr uint32_t max_block_bytes = 256 << 20;
@@ -35,13 +35,13 @@
 
     SegmentReadResult read(const std::function<void(const SegmentHeader&)>& on_header,
                            const std::function<bool(const Block&)>& on_block) {
-        bool goes_on = read_header(on_header);
-        while (goes_on) goes_on = read_block(on_block);
+        bool keep_reading = read_header(on_header);
+        while (keep_reading) keep_reading = read_block(on_block);
         return std::move(result_);
     }
 
    private:
-    // What a block's prefix says of its bytes.
+    // Lengths and checksums from the prefix of a block.
     struct BlockPrefix {
         uint32_t compressed_bytes = 0;
         uint32_t bytes = 0;
@@ -49,13 +49,13 @@
         Checksum checksum_of_prefix = 0;
     };
 
-    // Ends the reading; returns that it does not go on.
+    // Sets the result. Returns false, so that callers stop reading.
     bool stop(SegmentEnd end, std::string reason = "") {
         result_ = {end, offset_, std::move(reason)};
         return false;
     }
 
-    // Each of the following returns whether the reading goes on.
+    // Each of the following functions returns whether reading continues.
 
     bool read_header(const std::function<void(const SegmentHeader&)>& on_header) {
         std::string bytes;
@@ -79,7 +79,7 @@
             return stop(SegmentEnd::truncated, "the header is cut off");
         std::string_view prefix = bytes;
         if (!prefix.starts_with(segment_mark))
-            return stop(SegmentEnd::damaged, "this is no capture; expected " + std::string(segment_mark));
+            return stop(SegmentEnd::damaged, "this is not a capture; expected " + std::string(segment_mark));
         prefix.remove_prefix(segment_mark.size());
         const auto major = take_number<uint16_t>(prefix);
         if (major == format_major) return true;
@@ -87,7 +87,7 @@
                     "format " + std::to_string(major) + "; this build reads " + std::to_string(format_major));
     }
 
-    // The header's text and its checksum, whose length the prefix has last.
+    // Reads the header's text and its checksum. The length of the text is the last field of the prefix.
     bool read_header_text(std::string& bytes) {
         std::string_view size_bytes = std::string_view(bytes).substr(segment_prefix_bytes - sizeof(uint32_t));
         const auto size = take_number<uint32_t>(size_bytes);
@@ -113,7 +113,7 @@
         return true;
     }
 
-    // Nothing where the reading does not go on.
+    // Returns nothing if reading stops.
     std::optional<BlockPrefix> read_block_prefix() {
         std::array<char, block_prefix_bytes> buffer{};
         const size_t size = source_(buffer.data(), buffer.size());
@@ -126,9 +126,9 @@
 
     bool check_block_mark(std::string_view prefix, size_t size) {
         if (size == 0) return stop(SegmentEnd::open, "no index: still written, or its writer was killed");
-        if (size < prefix.size()) return stop(SegmentEnd::truncated, "a block's head is cut off");
+        if (size < prefix.size()) return stop(SegmentEnd::truncated, "a block's prefix is cut off");
         if (!prefix.starts_with(block_mark))
-            return stop(SegmentEnd::damaged, "no block begins here; expected " + std::string(block_mark));
+            return stop(SegmentEnd::damaged, "no block starts here; expected " + std::string(block_mark));
         return true;
     }
 
@@ -158,7 +158,8 @@
 
     bool read_block_bytes(const BlockPrefix& prefix) {
         compressed_.resize(prefix.compressed_bytes);
-        // A wrong length reads as cut off where it points beyond the end: either way nothing after is used.
+        // A corrupt length that exceeds the rest of the segment is reported as truncation, not as damage. In
+        // both cases the reader uses nothing after it.
         if (source_(compressed_.data(), compressed_.size()) < compressed_.size())
             return stop(SegmentEnd::truncated, "a block is cut off");
         if (prefix.checksum != checksum_of(compressed_, prefix.checksum_of_prefix))
@@ -174,8 +175,8 @@
     const ByteSource& source_;
     std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> decompression_;
     uint64_t offset_ = 0;
-    Block block_;             // the one that is being read
-    std::string compressed_;  // its bytes as they are stored
+    Block block_;             // the block that is being read
+    std::string compressed_;  // the block's bytes as stored
     SegmentReadResult result_;
 };
 
--- a/src/capture/segment_writer.cpp
+++ b/src/capture/segment_writer.cpp
@@ -23,7 +23,7 @@
 constexpr const char* extension = ".hrc";
 constexpr mode_t file_mode = 0640;
 
-// Names sort by the time at which segments begin: all have as many digits.
+// File names begin with the segment's start time in a fixed number of digits, so that they sort by time.
 std::string file_name(const SegmentHeader& header) {
     std::array<char, 96> name{};
     std::snprintf(name.data(), name.size(), "%014lld-%016llx-%06u", static_cast<long long>(header.unix_ms),
@@ -31,7 +31,7 @@
     return std::string(name.data()) + extension;
 }
 
-// What the index says of a block; docs/capture-format.md describes it.
+// Entry of a block in the index; docs/capture-format.md describes it.
 struct IndexEntry {
     uint64_t offset = 0;
     TimePoint first;
@@ -119,7 +119,7 @@
     index.kind = BlockKind::index;
     index.count = blocks_;
     index.bytes = index_;
-    write_all(file_, encode(index));  // without it the segment reads as one whose writer was killed
+    write_all(file_, encode(index));  // errors are ignored: without its index the segment reads as open
     abandon();
 }
 
@@ -134,7 +134,7 @@
     throw std::system_error(error, std::generic_category(), "cannot write to " + folder_);
 }
 
-// Only files with a segment's name are counted and removed.
+// Counts and removes only files with the extension of segments.
 void SegmentWriter::remove_old() const {
     std::error_code ignored;
     if (!fs::is_directory(folder_, ignored)) return;
--- a/src/capture/segment_writer.h
+++ b/src/capture/segment_writer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Segments as files of a folder.
+/// Writes segments to files in a folder.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace headrouter::capture {
 
-/// Which segments a folder keeps; the oldest are removed first.
+/// Limits the segments that a folder keeps; the oldest are removed first.
 struct RetentionLimits {
     size_t bytes = 0;
     Duration age;
 };
 
-/// Writes one segment after the other. Used on one thread.
+/// Writes segments one after the other. Not thread-safe.
 class SegmentWriter {
    public:
     SegmentWriter(std::string folder, RetentionLimits limits);
@@ -24,11 +24,12 @@
     SegmentWriter(const SegmentWriter&) = delete;
     SegmentWriter& operator=(const SegmentWriter&) = delete;
 
-    /// Finishes the segment before, removes old ones and begins the next with the policy's state, whose count
-    /// tells how many events were lost before it. Throws std::system_error; the segment is then abandoned.
+    /// Finishes the open segment, removes old segments and begins the next with the policy's state. The count
+    /// of `state` is the number of events lost before it. Throws std::system_error if writing fails; the
+    /// segment is then abandoned.
     void begin(const SegmentHeader& header, const Block& state);
 
-    /// Throws std::system_error; the segment is then abandoned.
+    /// Appends a block. Throws std::system_error if writing fails; the segment is then abandoned.
     void append(const Block& block);
 
     /// Writes the index and closes the file.
@@ -47,12 +48,13 @@
     std::string folder_;
     RetentionLimits limits_;
     int file_ = -1;
-    uint64_t offset_ = 0;  // where the next block begins
-    std::string index_;    // of the segment that is open
+    uint64_t offset_ = 0;  // of the next block in the file
+    std::string index_;    // index of the open segment, as bytes
     uint32_t blocks_ = 0;
 };
 
-/// The segments of a folder in the order in which they were written, or `path` itself where it is a file.
+/// Returns the paths of a folder's segments in the order in which they were written, or `path` itself if it
+/// is not a folder.
 [[nodiscard]] std::vector<std::string> segments_at(const std::string& path);
 
 }  // namespace headrouter::capture
