--- a/tests/capture/captured.h
+++ b/tests/capture/captured.h
@@ -1,5 +1,5 @@
-/// A small capture made in memory: a RecordingPolicy that lives through a crash, a cold start and a burst
-/// among a few servers, and a recorder that keeps what was recorded.
+/// Creates small captures in memory: a RecordingPolicy with a few servers goes through a crash, a cold start
+/// and a burst, and a recorder keeps the bytes.
 #pragma once
 #include <unistd.h>
 
@@ -16,7 +16,7 @@
 
 namespace headrouter::capture {
 
-/// Keeps a segment in memory.
+/// Records a segment to memory.
 struct MemoryRecorder : EventRecorder {
     std::string bytes;
     Block open_block;
@@ -48,16 +48,16 @@
     }
 };
 
-/// Answers the policy's actions as servers would: established after a moment, BUSY now and then, a crash in
-/// the middle.
-struct ScriptedDay : RecordingActions {
+/// Runs scripted traffic against a policy and answers the policy's actions as servers would: most attempts
+/// are established after 5 ms, some end at capacity (BUSY) or with an error, and crash() resets connections.
+struct ScriptedScenario : RecordingActions {
     RecordingPolicy policy;
     TimePoint now = cycle_start;
     std::vector<std::pair<RequestId, std::pair<ServerId, int>>> established;
     std::unordered_map<RequestId, int> attempt_counts;
     Pcg32 random{9};
     RequestId last_id = 0;
-    explicit ScriptedDay(EventRecorder* recorder, PolicyConfig config = grouped(), uint64_t seed = 3)
+    explicit ScriptedScenario(EventRecorder* recorder, PolicyConfig config = grouped(), uint64_t seed = 3)
         : policy(std::move(config), seed, *this, cycle_start) {
         policy.record_to(recorder);
     }
@@ -70,7 +70,7 @@
                           EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
         policy.on_endpoints(now, kind, endpoints);
     }
-    /// Lets the servers answer every attempt that was started.
+    /// Answers every attempt that was started, as the servers would.
     void answer_attempts() {
         for (const StartedAttempt& started : std::exchange(attempts, {})) {
             const int attempt = attempt_counts[started.request]++;
@@ -104,7 +104,7 @@
         policy.on_request(now, arriving);
         answer_attempts();
     }
-    /// `count` requests, `gap` apart.
+    /// Sends `count` requests, `gap` apart. Some clients leave, and server B reports its latency at times.
     void send_requests(int count, Duration gap) {
         for (int k = 0; k < count; ++k) {
             now = now + gap;
@@ -117,7 +117,7 @@
             if (k % 40 == 39) policy.on_latency_report(now, "B", 20 + k);
         }
     }
-    /// Resets all connections of a server.
+    /// Ends all established requests of a server with a reset.
     void crash(const ServerId& server) {
         std::erase_if(established, [&](const auto& entry) {
             if (entry.second.first != server) return false;
@@ -126,7 +126,8 @@
             return true;
         });
     }
-    /// A third of the servers die together and come back cold, then a burst.
+    /// Runs the "bad day" scenario: a third of the servers crash together and come back cold, then a burst
+    /// follows.
     void play_bad_day(int scale = 1) {
         update_endpoints(make_endpoints(6));
         send_requests(60 * scale, millis(40));
@@ -149,15 +150,15 @@
     }
 };
 
-/// The bytes of a segment with one bad day.
+/// Returns the bytes of a segment that records the "bad day" scenario.
 inline std::string record_bad_day(int scale = 1) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.play_bad_day(scale);
+    ScriptedScenario scenario(&recorder);
+    scenario.play_bad_day(scale);
     return recorder.finish();
 }
 
-/// A source for `read_segment` that reads from memory. `bytes` must outlive it.
+/// Returns a source for `read_segment` that reads from memory. `bytes` must outlive the source.
 inline auto reader_of(std::string_view bytes) {
     return [bytes](char* into, size_t size) mutable {
         size = std::min(size, bytes.size());
@@ -167,7 +168,7 @@
     };
 }
 
-/// Removed with all its files at the end.
+/// A folder that is removed, with all its files, by the destructor.
 struct TemporaryFolder {
     std::string path =
         (std::filesystem::temp_directory_path() / ("captures-" + std::to_string(getpid()))).string();
--- a/tests/capture/test_archive.cpp
+++ b/tests/capture/test_archive.cpp
@@ -1,4 +1,4 @@
-// Values as bytes: their form, and what is said of bytes that are none of theirs.
+// Tests the layout of values in bytes, and the errors for truncated or corrupt bytes.
 #include <gtest/gtest.h>
 
 #include "base/parse_error.h"
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST(Archive, NumbersTakeEightBytesAndFlagsOne) {
+TEST(Archive, WritesNumberInEightBytesAndFlagInOne) {
     EXPECT_EQ(bytes_of(0x0102), std::string("\x02\x01\0\0\0\0\0\0", 8));
     EXPECT_EQ(bytes_of(-1), std::string(8, '\xff'));
     EXPECT_EQ(bytes_of(true), std::string(1, '\x01'));
@@ -62,11 +62,11 @@
     EXPECT_EQ(bytes_of(std::optional<int>()), std::string(1, '\0'));
 }
 
-TEST(Archive, AStructHasTheBytesOfItsFields) {
+TEST(Archive, WritesStructAsItsFieldsInOrder) {
     EXPECT_EQ(bytes_of(Pair{3, "x"}), bytes_of(3) + bytes_of(std::string("x")));
 }
 
-TEST(Archive, EqualTablesHaveEqualBytesWhateverTheirHistory) {
+TEST(Archive, WritesEqualTablesToEqualBytesAfterInsertionsAndRemovals) {
     std::unordered_map<std::string, int> grown;
     for (int k = 0; k < 100; ++k) grown[std::to_string(k)] = k;
     for (int k = 3; k < 100; ++k) grown.erase(std::to_string(k));
@@ -74,26 +74,26 @@
     EXPECT_EQ(bytes_of(grown), bytes_of(small));
 }
 
-TEST(Archive, WhatIsWrittenIsReadAgain) {
+TEST(Archive, ReadsBackWrittenValues) {
     expect_same_when_read(std::vector<double>{0.1, -1e300, 0});
     expect_same_when_read(std::optional<TimePoint>(TimePoint{-5}));
     expect_same_when_read(std::map<std::string, Pair>{{"a", {1, "x"}}, {"", {-1, ""}}});
     expect_same_when_read(std::array<bool, 3>{true, false, true});
 }
 
-TEST(Archive, AnErrorSaysWhereTheBytesEndAndWhatWasExpected) {
+TEST(Archive, TruncatedOrExcessInputIsRejectedWithOffsetAndExpectation) {
     EXPECT_EQ(error_of<Pair>(bytes_of(Pair{3, "xyz"}).substr(0, 5)),
               "offset 0 of the input is followed by 5 bytes; expected 8 at least");
     EXPECT_EQ(error_of<int>(bytes_of(3) + "x"),
               "offset 8 of the input is followed by 1 bytes; expected the end");
 }
 
-TEST(Archive, AFlagThatIsNoneIsRefused) {
+TEST(Archive, FlagOtherThanZeroOrOneIsRejected) {
     EXPECT_EQ(error_of<std::optional<int>>("\x07"), "offset 0 of the input is 7; expected a flag, 0 or 1");
 }
 
-// A garbled length must not make room for more than the bytes can hold.
-TEST(Archive, AListThatIsLongerThanItsBytesIsRefused) {
+// A corrupt length must not cause an allocation beyond what the bytes can hold.
+TEST(Archive, ListCountBeyondRemainingBytesIsRejected) {
     EXPECT_EQ(error_of<std::vector<int>>(std::string("\xff\xff\xff\xff"
                                                      "abc")),
               "offset 4 of the input begins a list of 4294967295 elements in 3 bytes; expected a byte for "
--- a/tests/capture/test_optional_numbers.cpp
+++ b/tests/capture/test_optional_numbers.cpp
@@ -1,5 +1,5 @@
-// How captures hold numbers that there may be none of: as plain numbers, as they did before these were
-// optional.
+// Tests the layout of optional numbers in captures: plain numbers, with -1 for none, as in captures from
+// builds in which these numbers were not std::optional.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -46,14 +46,14 @@
     EXPECT_EQ(bytes_of(std::optional<ServerIndex>{}), bytes_of(int64_t{-1}));
 }
 
-TEST(OptionalNumbers, AnyOtherNumberIsWrittenPlain) {
+TEST(OptionalNumbers, PresentNumberIsWrittenAsPlainNumber) {
     EXPECT_EQ(bytes_of_optional<size_t>(5), bytes_of(int64_t{5}));
     EXPECT_EQ(bytes_of_optional<double>(2.5), bytes_of(2.5));
     EXPECT_EQ(bytes_of(std::optional<ServerIndex>{ServerIndex{3}}), bytes_of(int64_t{3}));
     EXPECT_EQ(bytes_of(ServerIndex{3}), bytes_of(int64_t{3}));
 }
 
-TEST(OptionalNumbers, AreReadAsTheyWereWritten) {
+TEST(OptionalNumbers, ReadsMinusOneAsNoneAndOtherNumbersAsValues) {
     EXPECT_EQ(read_optional<int>(bytes_of(int64_t{-1})), std::nullopt);
     EXPECT_EQ(read_optional<double>(bytes_of(-1.0)), std::nullopt);
     EXPECT_EQ(read_optional<double>(bytes_of(-1e-15)), -1e-15);
--- a/tests/capture/test_recorder.cpp
+++ b/tests/capture/test_recorder.cpp
@@ -14,23 +14,24 @@
     config.folder = folder.path;
     return config;
 }
-/// Waits until `holds` returns true, for ten seconds at most.
-static bool holds_soon(const std::function<bool()>& holds) {
-    for (int k = 0; k < 2000 && !holds(); ++k) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    return holds();
+
+/// Waits until `condition` returns true, for ten seconds at most. Returns whether it did.
+static bool becomes_true(const std::function<bool()>& condition) {
+    for (int k = 0; k < 2000 && !condition(); ++k) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    return condition();
 }
 
-TEST(Recorder, ARecordingReplaysAcrossItsSegments) {
+TEST(Recorder, RecordingWithSeveralSegmentsReplaysToSameActions) {
     const TemporaryFolder folder;
     RecorderConfig config = make_recorder_config(folder);
     config.segment_bytes = 60'000;
     uint64_t frames = 0;
     {
         Recorder recorder(config, "n", "b");
-        ScriptedDay day(&recorder);
-        day.play_bad_day(3);
+        ScriptedScenario scenario(&recorder);
+        scenario.play_bad_day(3);
         frames = recorder.frames();
-        day.policy.record_to(nullptr);
+        scenario.policy.record_to(nullptr);
     }
     const auto paths = segments_at(folder.path);
     const ReplayResult result = replay(paths);
@@ -38,10 +39,10 @@
     EXPECT_EQ(result.outcome, Outcome::same);
     EXPECT_EQ(result.events, frames);
     EXPECT_EQ(result.missing_events, 0);
-    EXPECT_EQ(replay({paths[1]}).outcome, Outcome::same);  // each by itself
+    EXPECT_EQ(replay({paths[1]}).outcome, Outcome::same);  // one segment alone
 }
 
-TEST(Recorder, AStalledDiskDropsEventsThenRecordsANewState) {
+TEST(Recorder, StalledDiskDropsEventsThenRecordsNewState) {
     const TemporaryFolder folder;
     RecorderConfig config = make_recorder_config(folder);
     config.queue_bytes = 100'000;
@@ -49,15 +50,15 @@
     {
         Recorder recorder(config, "n", "b");
         recorder.stall_for_test(true);
-        ScriptedDay day(&recorder);
-        day.play_bad_day(4);
+        ScriptedScenario scenario(&recorder);
+        scenario.play_bad_day(4);
         dropped = recorder.dropped();
         EXPECT_GT(dropped, 100);
         recorder.stall_for_test(false);
-        EXPECT_TRUE(holds_soon([&] { return segments_at(folder.path).size() == 1; }));
+        EXPECT_TRUE(becomes_true([&] { return segments_at(folder.path).size() == 1; }));
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
-        day.send_requests(30, millis(20));
-        day.policy.record_to(nullptr);
+        scenario.send_requests(30, millis(20));
+        scenario.policy.record_to(nullptr);
         dropped = recorder.dropped();
     }
     const auto paths = segments_at(folder.path);
@@ -70,39 +71,39 @@
     EXPECT_EQ(replay({paths.back()}).outcome, Outcome::same);
 }
 
-TEST(Recorder, AMissingFolderIsAFaultAndRequestsGoOn) {
+TEST(Recorder, MissingFolderCountsAsFaultWhileRequestsContinue) {
     TemporaryFolder folder;
     RecorderConfig config = make_recorder_config(folder);
     std::filesystem::remove_all(folder.path);
     Recorder recorder(config, "n", "b");
-    ScriptedDay day(&recorder);
-    day.update_endpoints(make_endpoints(3));
-    day.send_requests(20, millis(20));
-    EXPECT_TRUE(holds_soon([&] { return recorder.faults() > 0; }));
+    ScriptedScenario scenario(&recorder);
+    scenario.update_endpoints(make_endpoints(3));
+    scenario.send_requests(20, millis(20));
+    EXPECT_TRUE(becomes_true([&] { return recorder.faults() > 0; }));
     EXPECT_EQ(recorder.last_fault().find("cannot write to " + folder.path), 0);
-    const uint64_t placed = day.established.size();
-    day.send_requests(20, millis(20));
-    EXPECT_GT(day.established.size(), placed);
-    std::filesystem::create_directories(folder.path);  // recording goes on
-    EXPECT_TRUE(holds_soon([&] {
-        day.send_requests(1, millis(2000));
-        recorder.tick(day.now);
+    const uint64_t placed = scenario.established.size();
+    scenario.send_requests(20, millis(20));
+    EXPECT_GT(scenario.established.size(), placed);
+    std::filesystem::create_directories(folder.path);  // recording must resume
+    EXPECT_TRUE(becomes_true([&] {
+        scenario.send_requests(1, millis(2000));
+        recorder.tick(scenario.now);
         return !segments_at(folder.path).empty();
     }));
-    day.policy.record_to(nullptr);
+    scenario.policy.record_to(nullptr);
 }
 
-TEST(Recorder, OldSegmentsAreRemovedWhenTheFolderIsFull) {
+TEST(Recorder, OldSegmentsAreRemovedWhenFolderExceedsSizeLimit) {
     const TemporaryFolder folder;
-    folder.write_file("not ours", "notes.txt");
+    folder.write_file("not a segment", "notes.txt");
     RecorderConfig config = make_recorder_config(folder);
     config.segment_bytes = 30'000;
     config.keep_bytes = 30'000;
     {
         Recorder recorder(config, "n", "b");
-        ScriptedDay day(&recorder);
-        day.play_bad_day(5);
-        day.policy.record_to(nullptr);
+        ScriptedScenario scenario(&recorder);
+        scenario.play_bad_day(5);
+        scenario.policy.record_to(nullptr);
     }
     size_t bytes = 0;
     for (const std::string& path : segments_at(folder.path)) bytes += std::filesystem::file_size(path);
@@ -112,8 +113,8 @@
     EXPECT_EQ(replay({segments_at(folder.path).back()}).outcome, Outcome::same);
 }
 
-TEST(Recorder, WithoutARecorderThePolicyWorksAlike) {
-    ScriptedDay day(nullptr);
-    day.play_bad_day();
-    EXPECT_GT(day.established.size(), 10u);
+TEST(Recorder, PolicyPlacesRequestsWithoutRecorder) {
+    ScriptedScenario scenario(nullptr);
+    scenario.play_bad_day();
+    EXPECT_GT(scenario.established.size(), 10u);
 }
--- a/tests/capture/test_replay.cpp
+++ b/tests/capture/test_replay.cpp
@@ -1,4 +1,4 @@
-/// Captures replayed, explained, cut and anonymized.
+/// Tests replaying, explaining, cutting and anonymizing captures.
 #include "capture/captured.h"
 #include "capture/edit.h"
 #include "capture/explain.h"
@@ -6,7 +6,7 @@
 using namespace headrouter::capture;
 using Outcome = ReplayResult::Outcome;
 
-TEST(Replay, ReplaysABadDayToTheSameDecisionsTwice) {
+TEST(Replay, CaptureReplaysToSameDecisionsTwice) {
     const TemporaryFolder folder;
     const std::string path = folder.write_file(record_bad_day());
     for (int k = 0; k < 2; ++k) {
@@ -18,54 +18,54 @@
     }
 }
 
-TEST(Replay, ARestoredStateGoesOnAsTheOriginal) {
+TEST(Replay, CaptureStartedMidwayReplaysToSameActions) {
     MemoryRecorder whole;
     MemoryRecorder part;
-    ScriptedDay day(&whole);
-    day.play_bad_day();
+    ScriptedScenario scenario(&whole);
+    scenario.play_bad_day();
     part.wants_new_state = true;
-    day.policy.record_to(&part);  // from the middle on
-    day.send_requests(200, millis(15));
-    day.crash("B");
-    day.send_requests(100, millis(30));
+    scenario.policy.record_to(&part);  // starts in the middle of the traffic
+    scenario.send_requests(200, millis(15));
+    scenario.crash("B");
+    scenario.send_requests(100, millis(30));
     const TemporaryFolder folder;
     const ReplayResult result = replay({folder.write_file(part.finish())});
     EXPECT_EQ(result.outcome, Outcome::same);
     EXPECT_GT(result.events, 300);
 }
 
-TEST(Replay, ASegmentEndsInTheStateAtTheHeadOfTheNext) {
+TEST(Replay, StateAtSegmentStartMustMatchEndOfPreviousSegment) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.play_bad_day();
+    ScriptedScenario scenario(&recorder);
+    scenario.play_bad_day();
     const std::string first = recorder.finish();
     recorder.bytes.clear();
     recorder.wants_new_state = true;
-    day.send_requests(50, millis(20));
+    scenario.send_requests(50, millis(20));
     const std::string second = recorder.finish();
     const TemporaryFolder folder;
     const std::string first_path = folder.write_file(first, "1.hrc");
     const std::string second_path = folder.write_file(second, "2.hrc");
     EXPECT_EQ(replay({first_path, second_path}).outcome, Outcome::same);
     EXPECT_EQ(replay({second_path}).outcome, Outcome::same);
-    // A segment of another policy, under the same recording's name.
+    // A segment of another policy, with the same recording id.
     MemoryRecorder other;
-    ScriptedDay other_day(&other, ScriptedDay::grouped(), 4);
-    other_day.play_bad_day();
+    ScriptedScenario other_scenario(&other, ScriptedScenario::grouped(), 4);
+    other_scenario.play_bad_day();
     other.bytes.clear();
     other.open_block = Block{};
     other.wants_new_state = true;
-    other_day.send_requests(1, millis(20));
+    other_scenario.send_requests(1, millis(20));
     const ReplayResult result = replay({first_path, folder.write_file(other.finish(), "3.hrc")});
     EXPECT_EQ(result.outcome, Outcome::differs);
     EXPECT_NE(result.reason.find("the state at its head"), std::string::npos);
 }
 
-TEST(Replay, ADifferentDecisionIsNamedWithItsEvent) {
+TEST(Replay, ChangedActionIsReportedWithItsEvent) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.play_bad_day();
-    // One action of one frame names another server, as if this build decided differently.
+    ScriptedScenario scenario(&recorder);
+    scenario.play_bad_day();
+    // One recorded action is changed to another server, as if this build decided differently.
     Block changed;
     int attempts = 0;
     std::string description;
@@ -93,7 +93,7 @@
     EXPECT_NE(result.reason.find("at nowhere"), std::string::npos);
 }
 
-TEST(Replay, ExplainsWhatThePolicyKnewWhenARequestWasPlaced) {
+TEST(Replay, ExplainShowsFleetViewWhenRequestWasPlaced) {
     const TemporaryFolder folder;
     const Explanation explanation = explain({folder.write_file(record_bad_day())}, 70);
     EXPECT_EQ(explanation.result.outcome, Outcome::same);
@@ -103,7 +103,7 @@
     EXPECT_TRUE(explain({folder.write_file(record_bad_day())}, 999'999).text.empty());
 }
 
-TEST(Replay, APartOfACaptureReplaysByItself) {
+TEST(Replay, CutCaptureReplaysByItself) {
     const TemporaryFolder folder;
     const std::string whole = folder.write_file(record_bad_day());
     const std::string part = folder.path + "/part.hrc";
@@ -115,7 +115,7 @@
     EXPECT_GE(result.first - replay({whole}).first, seconds(2));
 }
 
-TEST(Replay, AnAnonymizedCaptureHasNoNamesAndReplaysToItself) {
+TEST(Replay, AnonymizedCaptureHasNoNamesAndReplaysToSameActions) {
     const TemporaryFolder folder;
     const std::string whole = folder.write_file(record_bad_day());
     const std::string anonymized = folder.path + "/anonymized.hrc";
@@ -134,17 +134,17 @@
     EXPECT_FALSE(has_names);
 }
 
-TEST(Replay, AReplayStopsAtAGapAndNamesIt) {
+TEST(Replay, ReplayStopsAtGapAndReportsMissingEvents) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.play_bad_day();
+    ScriptedScenario scenario(&recorder);
+    scenario.play_bad_day();
     std::string bytes = recorder.finish();
     MemoryRecorder after;
     after.wants_new_state = true;
-    day.policy.record_to(&after);
-    day.send_requests(5, millis(20));
+    scenario.policy.record_to(&after);
+    scenario.send_requests(5, millis(20));
     const std::string whole = after.finish();
-    // As the recorder writes it: the gap between the header and the state.
+    // The gap block is between the header and the state, as the recorder writes it.
     std::string with_gap;
     read_segment(
         reader_of(whole),
--- a/tests/capture/test_segment.cpp
+++ b/tests/capture/test_segment.cpp
@@ -1,8 +1,9 @@
-/// The reader of segments with every prefix, every flipped byte and random damage.
+/// Tests the segment reader with every prefix, every changed byte and random damage.
 #include "capture/captured.h"
 
 using namespace headrouter::capture;
 
+/// Result of reading a segment, with counts of the callbacks.
 struct ReadSegment {
     SegmentReadResult result;
     int blocks = 0;
@@ -27,19 +28,19 @@
     return read;
 }
 
-/// Several small blocks, so that every byte can be tried.
+/// Records several small blocks, so that tests can try every byte.
 static std::string record_small_blocks() {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.update_endpoints(make_endpoints(3));
+    ScriptedScenario scenario(&recorder);
+    scenario.update_endpoints(make_endpoints(3));
     for (int k = 0; k < 4; ++k) {
-        day.send_requests(3, millis(30));
+        scenario.send_requests(3, millis(30));
         recorder.finish_block();
     }
     return recorder.finish();
 }
 
-TEST(Segment, ACompleteSegmentIsReadCompletely) {
+TEST(Segment, CompleteSegmentIsReadCompletely) {
     const ReadSegment read = read_bytes(record_small_blocks());
     EXPECT_EQ(read.result.end, SegmentEnd::complete);
     EXPECT_EQ(read.headers, 1);
@@ -47,7 +48,7 @@
     EXPECT_GT(read.frames, 20);
 }
 
-TEST(Segment, EveryPrefixIsReadAsFarAsItIsComplete) {
+TEST(Segment, TruncatedSegmentIsReadUpToLastCompleteBlock) {
     const std::string all = record_small_blocks();
     const TemporaryFolder folder;
     uint64_t frames_before = 0;
@@ -56,7 +57,7 @@
         const ReadSegment read = read_bytes(std::string_view(all).substr(0, n));
         EXPECT_TRUE(read.result.end == SegmentEnd::truncated || read.result.end == SegmentEnd::open);
         EXPECT_LE(read.result.offset, n);
-        EXPECT_GE(read.frames, frames_before);  // more bytes never give fewer frames
+        EXPECT_GE(read.frames, frames_before);  // a longer prefix never yields fewer frames
         frames_before = read.frames;
         if (read.result.end == SegmentEnd::open) ++opens;
         if (n % 97 != 0) continue;
@@ -68,23 +69,23 @@
     EXPECT_EQ(opens, 6);  // after the header and after each of five blocks
 }
 
-TEST(Segment, EveryFlippedByteIsDetected) {
+TEST(Segment, AnyChangedByteIsDetected) {
     const std::string all = record_small_blocks();
     const uint64_t frames = read_bytes(all).frames;
-    size_t harmless = 0;
+    size_t undetected = 0;
     for (size_t k = 0; k < all.size(); ++k) {
         std::string damaged = all;
         damaged[k] = static_cast<char>(damaged[k] ^ 0x41);
         const ReadSegment read = read_bytes(damaged);
         if (read.result.end == SegmentEnd::complete) {
-            ++harmless;
+            ++undetected;
             EXPECT_EQ(read.frames, frames);
         }
     }
-    EXPECT_EQ(harmless, 0);  // no byte is outside a checksum
+    EXPECT_EQ(undetected, 0);  // every byte is covered by a checksum
 }
 
-TEST(Segment, RandomDamageNeverCrashesTheReader) {
+TEST(Segment, RandomlyDamagedSegmentDoesNotCrashReader) {
     const std::string all = record_small_blocks();
     Pcg32 random(4);
     for (int round = 0; round < 3000; ++round) {
@@ -106,12 +107,12 @@
     }
 }
 
-// Behind a correct checksum, as from a faulty writer.
-TEST(Segment, FramesAndStatesOfAnyBytesAreReadOrRejected) {
+// The checksum does not detect these errors, since a faulty writer computes it over the corrupt bytes.
+TEST(Segment, CorruptFramesAreReadOrRejectedAndCorruptStatesRejected) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.update_endpoints(make_endpoints(3));
-    day.send_requests(10, millis(30));
+    ScriptedScenario scenario(&recorder);
+    scenario.update_endpoints(make_endpoints(3));
+    scenario.send_requests(10, millis(30));
     std::vector<std::string> frames;
     for_each_frame(recorder.open_block.bytes, [&](std::string_view frame) {
         frames.emplace_back(frame);
@@ -137,7 +138,7 @@
         EXPECT_THROW(policy.restore(malformed), ParseError);
 }
 
-TEST(Segment, ANewerMajorVersionIsRejectedWithItsNumber) {
+TEST(Segment, NewerMajorVersionIsRejectedWithItsNumber) {
     std::string newer = record_small_blocks();
     newer[8] = 2;
     const ReadSegment read = read_bytes(newer);
@@ -146,7 +147,7 @@
     EXPECT_EQ(read.blocks, 0);
 }
 
-TEST(Segment, ABlockOfAnUnknownKindIsSkipped) {
+TEST(Segment, BlockOfUnknownKindIsSkipped) {
     const std::string all = record_small_blocks();
     std::string with_unknown;
     read_segment(
@@ -161,13 +162,13 @@
     EXPECT_EQ(read_bytes(with_unknown).frames, read_bytes(all).frames);
 }
 
-// What an error says of an event that no build can have recorded.
+// Returns the error message for an event that no build can have recorded.
 static std::string error_of(const RecordedEvent& event) {
     MemoryRecorder recorder;
-    ScriptedDay day(&recorder);
-    day.update_endpoints(make_endpoints(3));
+    ScriptedScenario scenario(&recorder);
+    scenario.update_endpoints(make_endpoints(3));
     ReplayedPolicy policy;
-    policy.restore(day.policy.state());
+    policy.restore(scenario.policy.state());
     try {
         policy.deliver(event);
     } catch (const ParseError& error) {
@@ -176,7 +177,7 @@
     return "";
 }
 
-TEST(Segment, AnEventThatThePolicyCannotHaveHadIsRefusedWithWhatWasExpected) {
+TEST(Segment, EventInvalidForPolicyIsRejectedWithExpectedValue) {
     RecordedEvent event;
     event.kind = EventKind::request_arrived;
     event.request.id = 5;
@@ -190,26 +191,26 @@
     EXPECT_EQ(error_of(event), "a configuration has 0 request classes; expected 1 at least, as before");
 }
 
-TEST(Segment, AnEventOfAnUnknownKindIsRefusedWithTheKnownOnes) {
+TEST(Segment, EventOfUnknownKindIsRejectedWithKnownKinds) {
     std::string frame;
     encode(RecordedEvent{}, frame);
     frame[0] = '\x63';
     try {
         (void)decode(frame);
-        ADD_FAILURE() << "not refused";
+        ADD_FAILURE() << "not rejected";
     } catch (const ParseError& error) {
         EXPECT_STREQ(error.what(), "an event is of kind 99; expected 0 to 11");
     }
 }
 
-TEST(Segment, AFrameThatIsLongerThanItsBlockIsRefusedWithItsOffset) {
+TEST(Segment, FrameLongerThanItsBlockIsRejectedWithItsOffset) {
     std::string block;
     append_frame(block, "abc");
     append_frame(block, "defg");
     block.pop_back();
     try {
         for_each_frame(block, [](std::string_view) { return true; });
-        ADD_FAILURE() << "not refused";
+        ADD_FAILURE() << "not rejected";
     } catch (const ParseError& error) {
         EXPECT_STREQ(error.what(),
                      "the frame at offset 7 of its block has a length of 4; expected 3 bytes at most");
