--- a/lab/scenario/fault.h
+++ b/lab/scenario/fault.h
@@ -1,6 +1,7 @@
-// What goes wrong with balancers' processes and with the links between them: a fault as a script words it,
-// and an injection, which is the same with the struck drawn. One seed gives the same injections on the model
-// and on sockets. Parts lie between 0 and 1; instants count from the start of the run.
+// Describes faults of balancer processes, of their connections and of the links between them. A Fault is an
+// entry of an experiment; a FaultInjection adds the affected balancers and servers, drawn at random. The same
+// seed gives the same injections in the model and on sockets. Parts are in [0, 1]; times count from the start
+// of the run.
 #pragma once
 #include <string>
 #include <utility>
@@ -17,18 +18,19 @@
     repeat,
     reorder,
     spoil,
-    split,  // the struck and the others do not hear each other
-    alone,  // a struck one and all but a few do not hear each other
-    lie,    // what the struck say of loads is not so
+    split,  // no datagrams pass between the affected balancers and the others
+    alone,  // an affected balancer exchanges datagrams with a few others only
+    lie,    // affected balancers report false loads
     // testbed/fleet_context.cpp relies on the order within list_*, path_* and client_*.
-    // The list as the struck balancers have it.
+    // The endpoint list as the affected balancers receive it.
     list_silent,
     list_garbled,
     list_late,
     list_back,
-    list_old,     // changes come a span later
-    list_hidden,  // it names the struck servers no more
-    // The connections of the struck balancers to the struck servers, and of clients to them.
+    list_old,     // changes arrive later by `span`
+    list_hidden,  // the affected servers are missing from it
+    // The connections of the affected balancers to the affected servers, and of clients to the affected
+    // balancers.
     path_stall,
     path_slow,
     path_half_open,
@@ -40,31 +42,31 @@
     stall,
     kill,
     leave,
-    second,  // a second process beside the first, which takes over
+    second,  // a second process starts beside the first and takes over from it
     reload,
     clock
 };
 
-enum class Way { both, out, in };  // of the struck: what they say, what they hear
+enum class Way { both, out, in };  // direction, seen from the affected balancers: sent, received
 
 struct Fault {
     FaultKind kind = FaultKind::drop;
     TimePoint at;
     Duration lasts;
-    double part = 0.25, servers = 0.25;  // of the balancers, of the servers
-    std::vector<int> numbers;            // of balancers; in place of a part
-    // drop, repeat, reorder, spoil: share of datagrams; alone: how many are still heard; lie: 0 all servers
-    // are empty, 1 all are full, 2 one is empty; clock: seconds ahead, negative for behind.
+    double part = 0.25, servers = 0.25;  // affected parts of the balancers and of the servers
+    std::vector<int> numbers;            // of the affected balancers; replaces `part` unless empty
+    // drop, repeat, reorder, spoil: share of the datagrams; alone: number of balancers still reached; lie: 0
+    // reports all servers empty, 1 all full, 2 one empty; clock: seconds ahead, negative if behind.
     double size = 1;
-    Duration span, spread;  // a delay, and how much more by chance
+    Duration span, spread;  // delay, and the upper bound of a random addition to it
     Way way = Way::both;
-    std::string program;                                    // of the second process; empty: the same
-    std::vector<std::pair<std::string, std::string>> sets;  // reload: path in the settings, JSON
+    std::string program;                                    // of the second process; empty: the same program
+    std::vector<std::pair<std::string, std::string>> sets;  // reload: path in the settings, value as JSON
 };
 
 struct FaultInjection {
     Fault fault;
-    std::vector<int> balancers, servers;  // by number
+    std::vector<int> balancers, servers;  // their numbers, sorted
     TimePoint from, until;
     bool at(TimePoint t) const { return from <= t && t < until; }
 };
@@ -72,12 +74,12 @@
 const char* word(FaultKind);
 std::vector<std::pair<std::string, FaultKind>> fault_words();
 bool is_of_datagrams(FaultKind);
-bool is_on_model(FaultKind);  // the model plays it as well
+bool is_on_model(FaultKind);  // whether the model simulates the fault too, not only the sockets
 
 struct Scenario;
-// In the order of time; equal times as the script has them.
+// Returns the injections sorted by start; those with equal starts keep the order of the experiment.
 std::vector<FaultInjection> injections_of(const Scenario&, uint64_t seed);
-// A line an injection: when, what, how much, whom.
+// Returns one line per injection: times, kind, size, affected balancers and servers.
 std::string timeline_of(const std::vector<FaultInjection>&);
 
 }  // namespace headrouter::scenario
--- a/lab/scenario/links.h
+++ b/lab/scenario/links.h
@@ -1,5 +1,5 @@
-// The links for datagrams between balancers, by direction: what becomes of one that is sent now. The same on
-// the model and on sockets; nothing is sent here.
+// Applies fault injections to the datagrams between balancers: decides for each one that is sent whether it
+// arrives, when, how often and with which bytes. Used by the model and on sockets; sends nothing itself.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -18,18 +18,19 @@
         Duration later;
         std::string bytes;
     };
-    // Each copy that arrives, and how much later than on a sound link; none: it is lost.
+    // Returns each copy that arrives and its delay beyond that of a healthy link; empty if the datagram is
+    // lost.
     std::vector<Passed> carry(TimePoint now, int from, int to, std::string_view bytes);
 
    private:
-    struct Kept {
+    struct AffectedLinks {
         FaultInjection injection;
-        std::vector<char> struck;
-        int friends = 0;  // alone: how many next numbers are still heard
+        std::vector<char> is_affected;
+        int reachable = 0;  // FaultKind::alone: how many balancers with the next numbers it still reaches
     };
-    bool heard_alone(const Kept&, int struck, int other) const;
-    void spoil(std::string&);
-    std::vector<Kept> kept_;
+    bool reachable_alone(const AffectedLinks&, int balancer, int other) const;
+    void corrupt(std::string&);
+    std::vector<AffectedLinks> affected_;
     int balancers_;
     Pcg32 chance_;
 };
--- a/lab/scenario/load_evenness.cpp
+++ b/lab/scenario/load_evenness.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int throws_of_dice = 12;  // their cv is a mean, so that it does not scatter beside the one judged
+constexpr int random_placements = 12;  // averaged, so that the reference cv varies little between seeds
 
 void grow(std::vector<std::vector<float>>& rows, size_t at, size_t server) {
     if (rows.size() <= at) rows.resize(at + 1);
@@ -21,7 +21,7 @@
     bool judged = false;
 };
 
-// Over the servers that serve at a sample.
+// Returns the evenness of the servers that serve at a sample; not judged with fewer than two, or no load.
 Evenness evenness(const std::vector<double>& load, const std::vector<char>& serves) {
     double sum = 0, squares = 0, most = 0, least = 1e300, n = 0;
     for (size_t k = 0; k < load.size(); ++k) {
@@ -34,11 +34,13 @@
     return {std::sqrt(std::max(0.0, squares / n - mean * mean)) / mean, most / mean, least / mean, true};
 }
 
-// Who gets an arrival, given what stands where, which servers serve and their weights.
+// Replays the arrivals with the placement `choose(load, serves)` and returns the cv of each judged sample
+// from `first` to `last`. Counts the set-ups per second and server in `setups` unless it is null.
 template <class Choice>
-std::vector<double> played(const std::vector<SpreadLog::Stood>& arrivals,
-                           const std::vector<std::vector<char>>& serves, const std::vector<double>& weights,
-                           size_t first, size_t last, Choice choose, std::vector<std::vector<int>>* setups) {
+std::vector<double> simulate_placement(const std::vector<SpreadLog::Stood>& arrivals,
+                                       const std::vector<std::vector<char>>& serves,
+                                       const std::vector<double>& weights, size_t first, size_t last,
+                                       Choice choose, std::vector<std::vector<int>>* setups) {
     struct Change {
         TimePoint at;
         size_t arrival = 0;
@@ -82,7 +84,7 @@
     return v.empty() ? 0 : sum / static_cast<double>(v.size());
 }
 
-// Only of seconds within the window, over the share that a server's weight has in them.
+// Returns the highest ratio of a server's set-ups in one second of the window to its share by weight.
 double herd_of(const std::vector<std::vector<int>>& setups, const std::vector<double>& weights, size_t first,
                size_t last) {
     double most = 0, all_weights = 0;
@@ -90,7 +92,7 @@
     for (size_t s = first; s < std::min(last, setups.size()); ++s) {
         double sum = 0;
         for (const int n : setups[s]) sum += n;
-        // In a second with less than half a set-up a server each of them is a herd wherever it lands.
+        // With less than half a set-up per server in a second, a single set-up would already count as a herd.
         if (sum < static_cast<double>(weights.size()) / 2) continue;
         for (size_t k = 0; k < weights.size(); ++k)
             most = std::max(most, setups[s][k] / (sum * weights[k] / all_weights));
@@ -114,7 +116,8 @@
     if (it->second.empty()) open_.erase(it);
 }
 
-// It never stood: an arrival that dice would have placed counts once, where it was taken.
+// A rejected attempt gets no duration: an arrival counts once, at the server that accepted it, so that the
+// random placement places it once too.
 void SpreadLog::turned_away(uint64_t request, int server) {
     const auto it = open_.find(request);
     if (it == open_.end()) return;
@@ -133,7 +136,7 @@
 
 void SpreadLog::take(SpreadLog&& other) {
     stood_.insert(stood_.end(), other.stood_.begin(), other.stood_.end());
-    open_.clear();  // what is merged is over
+    open_.clear();  // a merged log takes no further ends
     for (size_t at = 0; at < other.loads_.size(); ++at)
         for (size_t k = 0; k < other.loads_[at].size(); ++k)
             if (other.loads_[at][k] >= 0)
@@ -151,7 +154,7 @@
     const size_t first = place(from), last = std::min(log.samples(), place(until));
     std::vector<std::vector<char>> serves(log.samples(), std::vector<char>(servers));
     std::vector<double> cv, most, least, standing;
-    double idle = 0, looked = 0;
+    double idle = 0, server_samples = 0;
     for (size_t s = 0; s < log.samples(); ++s) {
         std::vector<double> load(servers);
         int connections = 0;
@@ -160,7 +163,7 @@
             load[k] = std::max(0.0, static_cast<double>(log.loads()[s][k]));
             connections += log.connections()[s][k];
             if (s < first || s >= last || !serves[s][k]) continue;
-            looked += 1, idle += log.connections()[s][k] == 0;
+            server_samples += 1, idle += log.connections()[s][k] == 0;
         }
         if (s < first || s >= last) continue;
         const Evenness e = evenness(load, serves[s]);
@@ -171,7 +174,7 @@
     }
     out.samples = static_cast<int>(cv.size());
     out.cv = mean(cv), out.most = mean(most), out.least = mean(least), out.standing = mean(standing);
-    out.idle = looked > 0 ? idle / looked : 0;
+    out.idle = server_samples > 0 ? idle / server_samples : 0;
     if (out.samples == 0) return out;
 
     std::vector<SpreadLog::Stood> arrivals;
@@ -186,10 +189,10 @@
         if (second(a.from) < seconds_long) ++setups[second(a.from)][static_cast<size_t>(a.server)];
     out.herd = herd_of(setups, weights, second(from), second(until));
     double dice = 0, herd = 0;
-    for (int t = 0; t < throws_of_dice; ++t) {
+    for (int t = 0; t < random_placements; ++t) {
         Pcg32 chance(seed, 71 + static_cast<uint64_t>(t));
-        std::vector<std::vector<int>> thrown(seconds_long, std::vector<int>(servers));
-        dice += mean(played(
+        std::vector<std::vector<int>> random_setups(seconds_long, std::vector<int>(servers));
+        dice += mean(simulate_placement(
             arrivals, serves, weights, first, last,
             [&](const std::vector<double>&, const std::vector<char>& up) {
                 double all = 0;
@@ -199,13 +202,13 @@
                     if (up[k] && (pick -= weights[k]) <= 0) return static_cast<int>(k);
                 return -1;
             },
-            &thrown));
-        herd += herd_of(thrown, weights, second(from), second(until));
+            &random_setups));
+        herd += herd_of(random_setups, weights, second(from), second(until));
     }
-    out.dice = dice / throws_of_dice;
-    out.herd_dice = herd / throws_of_dice;
+    out.dice = dice / random_placements;
+    out.herd_dice = herd / random_placements;
     Pcg32 chance(seed, 70);
-    out.seeing = mean(played(
+    out.seeing = mean(simulate_placement(
         arrivals, serves, weights, first, last,
         [&](const std::vector<double>& load, const std::vector<char>& up) {
             int best = -1;
--- a/lab/scenario/outcome.cpp
+++ b/lab/scenario/outcome.cpp
@@ -34,8 +34,9 @@
     return wanted > 0 ? had / wanted : 0;
 }
 
-// Round the faults: from when the run is judged to the first, from the first to the end of the last, and
-// between eight and twelve seconds after that, when all should be as before.
+// Measures three stretches: before the first fault (from the start of judging, or 4 s before the fault if
+// that is earlier), from the first fault to the end of the last one (at least 1 s), and from 8 to 12 s after
+// that, when the fleet should have recovered.
 void Outcome::judge_spread(const Scenario& w, const SpreadLog& log) {
     std::vector<double> weights;
     double all = 0;
--- a/lab/scenario/scenario.cpp
+++ b/lab/scenario/scenario.cpp
@@ -127,7 +127,7 @@
     return kinds;
 }
 
-// By a low-discrepancy order, so that quiet and busy ones are spread over the numbers.
+// Uses a low-discrepancy sequence, so that quiet and busy balancers are spread over the numbers.
 std::vector<double> traffic_shares(const Scenario& w) {
     constexpr double golden = 0.6180339887498949;
     std::vector<double> shares;
--- a/lab/scenario/schedule.cpp
+++ b/lab/scenario/schedule.cpp
@@ -17,15 +17,15 @@
 namespace {
 
 using What = ScheduledAction::What;
-constexpr int drain_parts = 10;      // a draining server sends its connections away in so many steps
-constexpr double drain_share = 0.6;  // of a deploy's step; the rest is the restart
+constexpr int drain_steps = 10;      // a draining server moves its connections away in this many steps
+constexpr double drain_share = 0.6;  // of the time that a deploy takes per server; the rest is the restart
 
-class Layout {
+class ScheduleBuilder {
    public:
-    Layout(const Scenario& w, uint64_t seed) : w_(w), chance_(seed, 23) {}
+    ScheduleBuilder(const Scenario& w, uint64_t seed) : w_(w), chance_(seed, 23) {}
 
     std::vector<ScheduledAction> all() {
-        for (const Incident& t : w_.incidents) lay(t);
+        for (const Incident& t : w_.incidents) add_incident(t);
         std::stable_sort(actions_.begin(), actions_.end(),
                          [](const ScheduledAction& a, const ScheduledAction& b) { return a.at < b.at; });
         return std::move(actions_);
@@ -36,9 +36,9 @@
         actions_.push_back({at, what, target, size});
     }
 
-    // A process that dies and comes back cold under the same id. A death shorter than its notice is seen by
-    // the list as a restart only.
-    void dies(const Incident& t, int server, What how, Duration notice) {
+    // Adds a process that dies and restarts cold under the same id. If it is back before its notice
+    // time ends, the endpoint list shows a restart only.
+    void add_failure(const Incident& t, int server, What how, Duration notice) {
         const TimePoint back = t.at + t.lasts;
         add(t.at, how, server);
         if (t.lasts > notice) add(t.at + notice, What::list_gone, server);
@@ -46,12 +46,12 @@
         add(back + w_.add_notice, What::list_serving, server);
     }
 
-    void drains(TimePoint at, Duration takes, int server, bool comes_back) {
+    void add_drain(TimePoint at, Duration takes, int server, bool comes_back) {
         add(at, What::drain, server);
         add(at, What::list_draining, server);
-        for (int k = 1; k <= drain_parts; ++k)
-            add(at + takes * (static_cast<double>(k) / drain_parts), What::move_one_part, server,
-                1.0 / (drain_parts - k + 1));
+        for (int k = 1; k <= drain_steps; ++k)
+            add(at + takes * (static_cast<double>(k) / drain_steps), What::move_one_part, server,
+                1.0 / (drain_steps - k + 1));
         add(at + takes, What::die, server);
         add(at + takes, What::list_gone, server);
         if (comes_back) {
@@ -61,7 +61,7 @@
         }
     }
 
-    void lay(const Incident& t) {
+    void add_incident(const Incident& t) {
         const TimePoint over = t.at + t.lasts;
         const auto on_some = [&](What begin, What end, double size, double after) {
             for (const int s : some_of(w_.servers, t.part, chance_))
@@ -70,11 +70,11 @@
         switch (t.kind) {
             case IncidentKind::crash:
                 for (const int s : some_of(w_.servers, t.part, chance_))
-                    dies(t, s, What::die, w_.gone_notice);
+                    add_failure(t, s, What::die, w_.gone_notice);
                 break;
             case IncidentKind::vanish:
                 for (const int s : some_of(w_.servers, t.part, chance_))
-                    dies(t, s, What::vanish, w_.silent_notice);
+                    add_failure(t, s, What::vanish, w_.silent_notice);
                 break;
             case IncidentKind::hang: on_some(What::hang, What::answer_again, 0, 0); break;
             case IncidentKind::slow: on_some(What::speed, What::speed, t.size, 1); break;
@@ -84,14 +84,14 @@
                 const auto order = some_of(w_.servers, t.part, chance_);
                 const Duration step = t.lasts * (1.0 / static_cast<double>(order.size()));
                 for (size_t k = 0; k < order.size(); ++k)
-                    drains(t.at + step * static_cast<double>(k), step * drain_share, order[k], true);
+                    add_drain(t.at + step * static_cast<double>(k), step * drain_share, order[k], true);
                 break;
             }
             case IncidentKind::shrink:
-                for (const int s : some_of(w_.servers, t.part, chance_)) drains(t.at, t.lasts, s, false);
+                for (const int s : some_of(w_.servers, t.part, chance_)) add_drain(t.at, t.lasts, s, false);
                 break;
             case IncidentKind::burst:
-            case IncidentKind::heavy: break;  // drawn with the sessions
+            case IncidentKind::heavy: break;  // applied when the sessions are drawn
             case IncidentKind::reconnect: add(t.at, What::clients_drop, -1, t.part); break;
             case IncidentKind::list_outage: add(t.at, What::list_silent), add(over, What::list_sound); break;
             case IncidentKind::list_garbled:
@@ -112,6 +112,8 @@
 
 }  // namespace
 
-std::vector<ScheduledAction> schedule_of(const Scenario& w, uint64_t seed) { return Layout(w, seed).all(); }
+std::vector<ScheduledAction> schedule_of(const Scenario& w, uint64_t seed) {
+    return ScheduleBuilder(w, seed).all();
+}
 
 }  // namespace headrouter::scenario
--- a/lab/scenario/schedule.h
+++ b/lab/scenario/schedule.h
@@ -1,5 +1,5 @@
-// Incidents laid out as single actions: which server, balancer or client, when, and what the list says of it
-// after its notice. The same actions for the model and for the sockets.
+// Expands incidents into single timed actions on servers, balancers, clients and the endpoint list, which
+// changes only after its notice time. The model and the sockets use the same actions.
 #pragma once
 #include <vector>
 
@@ -22,7 +22,7 @@
         move_one_part,
         list_gone,
         list_draining,
-        list_serving,  // what discovery is told of a server from then on
+        list_serving,  // list_*: the server's status in the endpoint list from then on
         list_silent,
         list_garbled,
         list_back,
@@ -33,14 +33,14 @@
     };
     TimePoint at;
     What what = What::die;
-    int target = -1;  // server or balancer, by what is done
+    int target = -1;  // number of the server or balancer, depending on `what`
     double size = 0;
 };
 
-// That part of so many, one at least, drawn; in the order in which they were drawn.
+// Draws a part of the numbers below `all`, at least one; returns them in the order drawn.
 std::vector<int> some_of(int all, double part, Pcg32&);
 
-// In the order of time; equal times in the order of the incidents.
+// Returns the actions sorted by time; those at equal times keep the order of the incidents.
 std::vector<ScheduledAction> schedule_of(const Scenario&, uint64_t seed);
 
 }  // namespace headrouter::scenario
--- a/lab/scenario/session.cpp
+++ b/lab/scenario/session.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// How fast clients come at a moment, over the usual rate, and how much work they bring.
-double times_at(const Scenario& w, TimePoint at, IncidentKind kind, Pcg32& chance) {
+// Returns the factor by which incidents of the kind multiply the arrival rate (burst) or the work of a
+// session (heavy) at a time.
+double incident_factor(const Scenario& w, TimePoint at, IncidentKind kind, Pcg32& chance) {
     double times = 1;
     for (const Incident& t : w.incidents)
         if (t.kind == kind && at >= t.at && at < t.at + t.lasts &&
@@ -19,7 +20,7 @@
     return times;
 }
 
-Session drawn(const Scenario& w, Pcg32& chance, uint64_t number, TimePoint at) {
+Session draw_session(const Scenario& w, Pcg32& chance, uint64_t number, TimePoint at) {
     const Traffic& traffic = w.traffic;
     Session s;
     s.number = number;
@@ -34,11 +35,11 @@
     s.tenant = static_cast<int>(chance.uniform() * traffic.tenants);
     s.zone = static_cast<int>(chance.uniform() * w.zones);
     s.key = "k" + std::to_string(number);
-    // Few groups are large and many small: the rank falls as one over itself (Zipf's law).
+    // Few groups are large and many small: a group's size is inversely proportional to its rank (Zipf's law).
     if (traffic.groups > 0)
         s.group = "g" + std::to_string(static_cast<int>(std::pow(traffic.groups, chance.uniform())));
     s.load = row.load * 1000 * (1 + traffic.load_spread * (2 * chance.uniform() - 1)) *
-             times_at(w, at, IncidentKind::heavy, chance);
+             incident_factor(w, at, IncidentKind::heavy, chance);
     return s;
 }
 
@@ -57,16 +58,17 @@
     std::vector<Session> all;
     const auto first = static_cast<int>(standing + chance.uniform());
     for (int k = 0; k < first; ++k)
-        all.push_back(drawn(w, chance, 0, TimePoint{} + w.traffic.ramp * chance.uniform()));
-    // Thinned from the highest rate, so that a burst changes nobody else's draw of time.
+        all.push_back(draw_session(w, chance, 0, TimePoint{} + w.traffic.ramp * chance.uniform()));
+    // Arrivals are drawn at the highest rate and then thinned, so that a burst changes no other
+    // session's time.
     double highest = 1;
     for (const Incident& t : w.incidents)
         if (t.kind == IncidentKind::burst) highest *= std::max(1.0, t.size);
     for (TimePoint at{};;) {
         at = at + seconds(exponential(chance, 1 / (rate * highest)));
         if (at >= TimePoint{} + w.length) break;
-        if (chance.uniform() * highest < times_at(w, at, IncidentKind::burst, chance))
-            all.push_back(drawn(w, chance, 0, at));
+        if (chance.uniform() * highest < incident_factor(w, at, IncidentKind::burst, chance))
+            all.push_back(draw_session(w, chance, 0, at));
     }
     std::stable_sort(all.begin(), all.end(),
                      [](const Session& a, const Session& b) { return a.from < b.from; });
@@ -77,7 +79,7 @@
     return all;
 }
 
-std::optional<TimePoint> ClientRetryPolicy::in_time(TimePoint at) const {
+std::optional<TimePoint> ClientRetryPolicy::if_still_wanted(TimePoint at) const {
     if (gave_up() || at >= until_) return {};
     return at;
 }
@@ -85,17 +87,17 @@
 std::optional<TimePoint> ClientRetryPolicy::after_busy(TimePoint now, Duration advised, Pcg32& chance) {
     if (advised.ns <= 0) return after_failure(now, chance);
     ++failed_;
-    return in_time(now + advised);
+    return if_still_wanted(now + advised);
 }
 
 std::optional<TimePoint> ClientRetryPolicy::after_failure(TimePoint now, Pcg32& chance) {
     ++failed_;
     const double doubled = static_cast<double>(1 << std::min(failed_ - 1, 6));
-    return in_time(now + traffic_->back_off * (doubled * (0.5 + chance.uniform())));
+    return if_still_wanted(now + traffic_->back_off * (doubled * (0.5 + chance.uniform())));
 }
 
 std::optional<TimePoint> ClientRetryPolicy::after_break(TimePoint now, Pcg32& chance) {
-    return in_time(now + traffic_->return_after * (0.5 + chance.uniform()));
+    return if_still_wanted(now + traffic_->return_after * (0.5 + chance.uniform()));
 }
 
 }  // namespace headrouter::scenario
--- a/lab/scenario/simulated_server.cpp
+++ b/lab/scenario/simulated_server.cpp
@@ -5,16 +5,16 @@
 namespace headrouter::scenario {
 
 namespace {
-// A pile is looked at in steps no longer than this, since a cold machine's capacity changes under way.
-constexpr Duration longest_step = millis(100);
-constexpr Duration longest_pile = seconds(20), bare_message = millis(1);
+// Longest step in which the backlog is computed, since the capacity of a cold server changes meanwhile.
+constexpr Duration max_step = millis(100);
+constexpr Duration max_backlog = seconds(20), base_message_delay = millis(1);
 }  // namespace
 
 SimulatedServer::SimulatedServer(const ServerKind& kind, const Scenario& w, uint64_t seed)
     : kind_(&kind),
       setup_work_(w.setup_work),
-      fall_time_(w.overload_window),
-      fall_multiple_(w.overload_multiple),
+      overload_window_(w.overload_window),
+      overload_multiple_(w.overload_multiple),
       group_load_(w.traffic.group_load * 1000),
       chance_(seed, 0x9e3779b97f4a7c15ULL),
       error_rate_(kind.error_rate),
@@ -32,21 +32,22 @@
 
 void SimulatedServer::advance(TimePoint now) {
     while (now_ < now) {
-        const Duration step = std::min(longest_step, now - now_);
+        const Duration step = std::min(max_step, now - now_);
         const double s = to_seconds(step);
         now_ = now_ + step;
         if (!answers()) continue;
         const double can = capacity(now_);
-        pile_ = std::clamp(pile_ + (asked() - can) * s, 0.0, to_seconds(longest_pile) * can);
-        sent_lately_ *= std::max(0.0, 1 - step / fall_time_);
+        backlog_ = std::clamp(backlog_ + (asked() - can) * s, 0.0, to_seconds(max_backlog) * can);
+        recent_setup_work_ *= std::max(0.0, 1 - step / overload_window_);
         if (cold_ && warmth(now_) >= 1) cold_ = false;
-        const bool over = cold_ && asked() + sent_lately_ / to_seconds(fall_time_) > fall_multiple_ * can;
-        if (over && !over_) over_since_ = now_;
-        over_ = over;
-        if (over_ && now_ - over_since_ >= fall_time_) {
-            fell_ = true;  // and stays down, whatever the script says later
+        const bool overloaded =
+            cold_ && asked() + recent_setup_work_ / to_seconds(overload_window_) > overload_multiple_ * can;
+        if (overloaded && !overloaded_) overloaded_since_ = now_;
+        overloaded_ = overloaded;
+        if (overloaded_ && now_ - overloaded_since_ >= overload_window_) {
+            fell_ = true;  // stays down, whatever incident actions follow
             mode_ = Mode::dead;
-            over_ = false;
+            overloaded_ = false;
         }
     }
 }
@@ -57,14 +58,14 @@
     using How = SetUp::How;
     if (mode_ == Mode::dead) return {How::refused, now};
     if (!answers()) return {How::silent, now};
-    const bool capped =
+    const bool at_connection_limit =
         kind_->most_connections > 0 && static_cast<int>(held_.size()) >= kind_->most_connections;
-    if (mode_ == Mode::draining || full_ || capped) return {How::busy, now + bare_message};
-    pile_ += static_cast<double>(setup_work_.ns) / 1000;
-    sent_lately_ += static_cast<double>(setup_work_.ns) / 1000;
+    if (mode_ == Mode::draining || full_ || at_connection_limit) return {How::busy, now + base_message_delay};
+    backlog_ += static_cast<double>(setup_work_.ns) / 1000;
+    recent_setup_work_ += static_cast<double>(setup_work_.ns) / 1000;
     const Duration takes = delay(now);
-    if (takes > wait) {  // the client's time is up; what it would have asked for was sent all the same
-        sent_lately_ += load * to_seconds(fall_time_);
+    if (takes > wait) {  // the balancer stops waiting first; the load was sent to this server all the same
+        recent_setup_work_ += load * to_seconds(overload_window_);
         return {How::busy, now + wait};
     }
     if (error_rate_ > 0 && chance_.uniform() < error_rate_) return {How::error, now + takes};
@@ -84,7 +85,7 @@
     if (!it->second.group.empty())
         if (const auto g = groups_.find(it->second.group); --g->second == 0) groups_.erase(g);
     held_.erase(it);
-    if (held_.empty()) asked_ = 0;  // no dust of many sums
+    if (held_.empty()) asked_ = 0;  // removes the rounding error of many sums
     return true;
 }
 
@@ -100,7 +101,7 @@
     advance(now);
     if (fell_) return;
     mode_ = mode;
-    if (mode == Mode::dead) pile_ = sent_lately_ = 0, over_ = false;
+    if (mode == Mode::dead) backlog_ = recent_setup_work_ = 0, overloaded_ = false;
 }
 
 void SimulatedServer::start_cold(TimePoint now) {
@@ -110,8 +111,8 @@
     mode_ = Mode::running;
     cold_ = kind_->slow_start_time.ns > 0;
     started_ = now;
-    pile_ = sent_lately_ = 0;
-    over_ = false;
+    backlog_ = recent_setup_work_ = 0;
+    overloaded_ = false;
 }
 
 void SimulatedServer::set_speed(TimePoint now, double part) {
@@ -121,7 +122,7 @@
 
 Duration SimulatedServer::delay(TimePoint now) {
     advance(now);
-    return bare_message + seconds(pile_ / capacity(now_));
+    return base_message_delay + seconds(backlog_ / capacity(now_));
 }
 
 std::vector<uint64_t> SimulatedServer::requests() const {
