--- a/tests/lab_scenario/test_load_evenness.cpp
+++ b/tests/lab_scenario/test_load_evenness.cpp
@@ -1,4 +1,4 @@
-// Evenness of load, beside dice and beside a choice that sees all, from what servers saw.
+// Tests the measured evenness of load and its references: random placement and placement by known load.
 #include <cmath>
 
 #include "policy_helpers.h"
@@ -6,9 +6,11 @@
 
 using namespace headrouter::scenario;
 
-// So many connections come evenly over ten seconds and stay; who gets each is told by `server_of`.
+// Returns the evenness of `connections` that arrive at a constant rate over ten seconds and stay; `server_of`
+// chooses the server of each.
 template <class Choice>
-static Spread stood(int servers, int connections, Choice server_of, std::vector<double> weights = {}) {
+static Spread measure_spread(int servers, int connections, Choice server_of,
+                             std::vector<double> weights = {}) {
     if (weights.empty()) weights.assign(static_cast<size_t>(servers), 1);
     SpreadLog log;
     std::vector<int> held(static_cast<size_t>(servers));
@@ -29,8 +31,8 @@
     return spread_of(log, weights, TimePoint{} + seconds(10), TimePoint{} + seconds(12), 1);
 }
 
-TEST(LoadEvenness, InTurnIsEvenAndDiceAreAsUnevenAsDice) {
-    const Spread s = stood(20, 400, [](int k) { return k % 20; });
+TEST(LoadEvenness, RoundRobinIsEvenAndRandomReferenceHasBinomialCv) {
+    const Spread s = measure_spread(20, 400, [](int k) { return k % 20; });
     EXPECT_LT(s.cv, 1e-9);
     EXPECT_EQ(s.most, 1);
     EXPECT_EQ(s.least, 1);
@@ -41,16 +43,16 @@
     EXPECT_EQ(s.standing, 400);
 }
 
-TEST(LoadEvenness, DiceBesideDiceAreAboutOne) {
+TEST(LoadEvenness, RandomPlacementIsAboutAsUnevenAsRandomReference) {
     Pcg32 chance(9);
-    const Spread s = stood(20, 400, [&](int) { return static_cast<int>(chance.uniform() * 20); });
+    const Spread s = measure_spread(20, 400, [&](int) { return static_cast<int>(chance.uniform() * 20); });
     EXPECT_GT(s.over_dice(), 0.7);
     EXPECT_LT(s.over_dice(), 1.4);
 }
 
-TEST(LoadEvenness, AHerdOnOneServerAndIdleOnesAreSeen) {
-    const Spread s = stood(10, 400, [](int k) { return k < 200 ? k % 5 : 7; });
-    EXPECT_EQ(s.idle, 0.4);  // four of ten never had one
+TEST(LoadEvenness, HerdOnOneServerAndIdleServersAreMeasured) {
+    const Spread s = measure_spread(10, 400, [](int k) { return k < 200 ? k % 5 : 7; });
+    EXPECT_EQ(s.idle, 0.4);  // four of ten servers never have a connection
     SpreadLog log;
     for (int k = 0; k < 40; ++k)
         log.began(TimePoint{} + seconds(2.1), static_cast<uint64_t>(k) + 1, k < 30 ? 3 : k % 10, 1);
@@ -59,22 +61,22 @@
     const Spread herd =
         spread_of(log, std::vector<double>(10, 1), TimePoint{} + seconds(1), TimePoint{} + seconds(4), 1);
     EXPECT_EQ(herd.herd, 7.75);
-    EXPECT_LT(herd.herd_dice, 3.5);  // 31 of 40, beside a tenth
+    EXPECT_LT(herd.herd_dice, 3.5);  // server 3 gets 31 of 40 set-ups, its share is a tenth
 }
 
-TEST(LoadEvenness, WeightsAreWhatAServerIsHeldTo) {
+TEST(LoadEvenness, LoadIsMeasuredRelativeToWeight) {
     const std::vector<double> weights{0.5, 1.5};
-    const Spread s = stood(
+    const Spread s = measure_spread(
         2, 400, [](int k) { return k % 4 == 0 ? 0 : 1; }, weights);
     EXPECT_LT(s.cv, 0.01);
     EXPECT_LT(s.most, 1.01);
-    const Spread wrong = stood(
+    const Spread wrong = measure_spread(
         2, 400, [](int k) { return k % 2; }, weights);
     EXPECT_LT(std::abs(wrong.most - 1.5), 0.01);
     EXPECT_LT(std::abs(wrong.least - 0.5), 0.01);
 }
 
-TEST(LoadEvenness, ServersThatDoNotServeAreLeftOut) {
+TEST(LoadEvenness, ServersThatDoNotServeAreIgnored) {
     SpreadLog log;
     for (size_t at = 0; at < 8; ++at)
         for (int k = 0; k < 4; ++k) log.sample(at, k, k == 3 ? -1 : 5, k == 3 ? 0 : 5);
--- a/tests/lab_scenario/test_session.cpp
+++ b/tests/lab_scenario/test_session.cpp
@@ -6,19 +6,19 @@
 
 using namespace headrouter::scenario;
 
-static size_t coming(const std::vector<Session>& all, double from, double to) {
+static size_t arrivals_between(const std::vector<Session>& all, double from, double to) {
     return static_cast<size_t>(std::count_if(all.begin(), all.end(), [&](const Session& s) {
         return s.from >= TimePoint{} + seconds(from) && s.from < TimePoint{} + seconds(to);
     }));
 }
 
-TEST(Session, SessionsComeAtTheRateThatTheUseAsksFor) {
+TEST(Session, ArrivalRateAndLoadMatchRequestedUse) {
     Scenario w;
     w.servers = 10;
     w.length = seconds(100);
     const auto all = draw_sessions(w, 3);
-    const double standing = 0.4 * capacity_of(w) / 8000;  // of 8 ms a second each
-    EXPECT_LT(std::abs(double(coming(all, 10, 100)) / (standing / 30 * 90) - 1), 0.06);
+    const double standing = 0.4 * capacity_of(w) / 8000;  // each loads a server with 8 ms per second
+    EXPECT_LT(std::abs(double(arrivals_between(all, 10, 100)) / (standing / 30 * 90) - 1), 0.06);
     double load = 0;
     for (const Session& s : all) load += s.load / double(all.size());
     EXPECT_LT(std::abs(load - 8000), 200);
@@ -26,7 +26,7 @@
         EXPECT_TRUE(all[k].number == k && (k == 0 || all[k].from >= all[k - 1].from));
 }
 
-TEST(Session, ASeedDrawsTheSameSessionsAgain) {
+TEST(Session, SameSeedDrawsSameSessions) {
     Scenario w;
     const auto a = draw_sessions(w, 3), b = draw_sessions(w, 3), c = draw_sessions(w, 4);
     EXPECT_EQ(a.size(), b.size());
@@ -35,17 +35,17 @@
     EXPECT_NE(a.back().from, c.back().from);
 }
 
-TEST(Session, ABurstMultipliesArrivalsWhileItLasts) {
+TEST(Session, BurstMultipliesArrivalsWhileActive) {
     Scenario w;
     w.length = seconds(90);
     w.incidents.push_back({IncidentKind::burst, TimePoint{} + seconds(40), seconds(20), 1, 4});
     const auto all = draw_sessions(w, 3);
-    const double times = double(coming(all, 40, 60)) / double(coming(all, 20, 40));
+    const double times = double(arrivals_between(all, 40, 60)) / double(arrivals_between(all, 20, 40));
     EXPECT_GT(times, 3.5);
     EXPECT_LT(times, 4.5);
 }
 
-TEST(Session, HeavySessionsAskForMore) {
+TEST(Session, HeavyIncidentMultipliesLoadOfItsPartOfSessions) {
     Scenario w;
     w.traffic.load_spread = 0;
     w.incidents.push_back({IncidentKind::heavy, TimePoint{} + seconds(20), seconds(20), 0.5, 10});
@@ -56,7 +56,7 @@
     EXPECT_LT(std::abs(double(heavy) / double(all) - 0.5), 0.1);
 }
 
-TEST(Session, PatienceDoublesThenEnds) {
+TEST(Session, BackoffDoublesUntilRetriesAreExhausted) {
     Traffic t;
     t.retries = 3;
     Pcg32 chance(1);
@@ -72,7 +72,7 @@
     EXPECT_TRUE(p.gave_up());
 }
 
-TEST(Session, PatienceStartsAnewOnceUpAndFollowsAdvice) {
+TEST(Session, RetryFollowsAdviceAndRetryCountResetsOnceEstablished) {
     Traffic t;
     t.retries = 1;
     Pcg32 chance(1);
@@ -81,10 +81,10 @@
     p.came_up();
     EXPECT_TRUE(p.after_failure(TimePoint{}, chance));
     EXPECT_FALSE(p.gave_up());
-    EXPECT_FALSE(p.after_break(TimePoint{} + seconds(11), chance));  // it wants nothing more
+    EXPECT_FALSE(p.after_break(TimePoint{} + seconds(11), chance));  // the session has ended
 }
 
-// ---- the script of incidents ----
+// ---- the schedule of incidents ----
 
 static std::vector<ScheduledAction> actions(IncidentKind kind, double part = 0.25, double size = 3) {
     Scenario w;
@@ -99,7 +99,7 @@
 }
 using What = ScheduledAction::What;
 
-TEST(Session, ACrashIsNoticedLateAndEndsInAColdStart) {
+TEST(Session, CrashIsListedAfterNoticeAndEndsInColdStart) {
     const auto all = actions(IncidentKind::crash);
     EXPECT_EQ(count(all, What::die), 3);
     EXPECT_EQ(count(all, What::list_gone), 3);
@@ -117,7 +117,7 @@
     }
 }
 
-TEST(Session, ADeathShorterThanItsNoticeIsToldAsARestart) {
+TEST(Session, CrashShorterThanNoticeIsListedAsRestart) {
     Scenario w;
     w.gone_notice = seconds(20);
     w.incidents.push_back({IncidentKind::crash, TimePoint{} + seconds(10), seconds(8), 0.25, 1});
@@ -126,7 +126,7 @@
     EXPECT_EQ(count(all, What::list_serving), 3);
 }
 
-TEST(Session, ADeployTakesServersOneAfterAnother) {
+TEST(Session, DeployRestartsServersOneAfterAnother) {
     const auto all = actions(IncidentKind::deploy, 0.5);
     EXPECT_EQ(count(all, What::drain), 6);
     EXPECT_EQ(count(all, What::start_cold), 6);
@@ -138,7 +138,7 @@
     EXPECT_EQ(most, 1);
 }
 
-TEST(Session, WhatBeginsEndsAndEveryKindDoesSomething) {
+TEST(Session, EveryIncidentKindSchedulesItsBeginningAndItsEnd) {
     for (const auto& [kind, begin, end] :
          {std::tuple{IncidentKind::hang, What::hang, What::answer_again},
           {IncidentKind::slow, What::speed, What::speed},
