--- a/tests/lab_scenario/test_invariant_checker.cpp
+++ b/tests/lab_scenario/test_invariant_checker.cpp
@@ -83,7 +83,7 @@
     f.checker.balancer_died(0);
     f.checker.answered(at(1.5), 5, Answer::ended);
     f.checker.finish(at(10));
-    EXPECT_TRUE(f.only_violation(Rule::request_lost));  // only_violation request 6, which balancer 1 held
+    EXPECT_TRUE(f.only_violation(Rule::request_lost));  // only request 6, which balancer 1 held
 }
 
 TEST(InvariantChecker, SecondAnswerAndLineAfterAnswerAreReported) {
