--- a/lab/testbed/acceptor.cpp
+++ b/lab/testbed/acceptor.cpp
@@ -23,10 +23,10 @@
 Acceptor::~Acceptor() { refuse(); }
 
 void Acceptor::open() {
-    if (!fillers_.empty()) refuse();  // what waited in the queue is reset, as when a machine is back
+    if (!fillers_.empty()) refuse();  // resets the queued connections, as a machine does that is back
     if (fd_) return;
     const auto address = Address::from(at_);
-    if (!address) throw std::runtime_error("'" + at_ + "' is no address");
+    if (!address) throw std::runtime_error("'" + at_ + "' is not an address");
     fd_ = listen_on(*address);
     ev_io_set(&io_, fd_.get(), EV_READ);
     ev_io_start(loop_, &io_);
--- a/lab/testbed/acceptor.h
+++ b/lab/testbed/acceptor.h
@@ -1,6 +1,6 @@
-// A listening socket of a stand-in, which can refuse, and can fall silent as a machine does that vanished:
-// connections to it then never come up. Without privileges the kernel cannot be told to drop packets, but it
-// does so by itself for a listener whose queue is full.
+// Listening socket of a fake peer. It can refuse connections, or ignore them like a machine that vanished:
+// then connections to it are never established. Making the kernel drop packets needs privileges, but the
+// kernel drops them for a listener whose accept queue is full.
 #pragma once
 #include <ev.h>
 
@@ -19,9 +19,9 @@
     Acceptor(const Acceptor&) = delete;
     Acceptor& operator=(const Acceptor&) = delete;
 
-    void open();    // takes connections
-    void refuse();  // nobody listens
-    void ignore();  // takes nothing, refuses nothing
+    void open();    // accepts connections
+    void refuse();  // closes the listener: connections are refused
+    void ignore();  // neither accepts nor refuses connections
     bool short_of_descriptors() const { return short_; }
 
    private:
--- a/lab/testbed/address_block.h
+++ b/lab/testbed/address_block.h
@@ -1,5 +1,5 @@
-// Addresses of a test bed's own, 127.X.Y.1 and on: claimed by a lock that the kernel lets go with the
-// process, so that two test beds side by side never meet.
+// Reserves loopback addresses, from 127.X.Y.1 upwards, for one test bed. The kernel releases the lock on a
+// block when the process ends, so two test beds that run at the same time never share addresses.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,8 +10,8 @@
 
 class AddressBlock {
    public:
-    explicit AddressBlock(int hosts);  // throws std::runtime_error where no block is free
-    std::string host(int n) const;     // from 0 on, below what was asked for
+    explicit AddressBlock(int hosts);  // throws std::runtime_error if no block is free
+    std::string host(int n) const;     // 0 <= n < the `hosts` of the constructor
 
    private:
     struct Net {
@@ -21,7 +21,7 @@
     std::vector<Net> nets_;
 };
 
-// As many descriptors as the kernel grants this process; what that is.
+// Raises this process's limit of open descriptors as far as the kernel permits and returns the limit.
 int raise_descriptors();
 
 }  // namespace headrouter::testbed
--- a/lab/testbed/client_population.cpp
+++ b/lab/testbed/client_population.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr Duration remembered = seconds(30), connect_patience = seconds(1);
 constexpr Duration soon_after =
-    seconds(0.1);  // the operators' bound on sending on for a client that has left
+    seconds(0.1);  // the operators' limit on sending attempts for a client that has left
 }  // namespace
 
 ClientPopulation::ClientPopulation(TimerQueue& timers, const Scenario& world, std::vector<Session> sessions,
@@ -42,7 +42,7 @@
     for (size_t who = 0; who < sessions_.size(); ++who) {
         clients_[who].patience.emplace(world_.traffic, sessions_[who].until);
         timers_.at(sessions_[who].from, [this, who, alive = alive_] {
-            if (*alive) come(who);
+            if (*alive) connect_session(who);
         });
         timers_.at(sessions_[who].until, [this, who, alive = alive_] {
             if (*alive) end_session(who);
@@ -74,7 +74,7 @@
     return line + "\r\n";
 }
 
-void ClientPopulation::come(size_t who) {
+void ClientPopulation::connect_session(size_t who) {
     Client& c = clients_[who];
     const Session& s = sessions_[who];
     if (stopped_ || c.state != Client::State::away || timers_.now() >= s.until) return;
@@ -82,7 +82,7 @@
     if (b < 0) return away(who, c.patience->after_failure(timers_.now(), chance_));
     Fd fd = connect_to(balancers_[b].address);
     if (!fd) {
-        // What the test bed itself is short of must not be laid to the balancer.
+        // The balancer must not be blamed if the test bed itself runs out of descriptors.
         if (errno == EMFILE || errno == ENFILE) short_of_ = "descriptors";
         if (errno == EADDRNOTAVAIL || errno == EAGAIN) short_of_ = "ports";
         return away(who, c.patience->after_failure(timers_.now(), chance_));
@@ -90,7 +90,7 @@
     c.request = request_id(s.number, ++c.tries);
     c.balancer = b;
     c.state = Client::State::connecting;
-    c.spoken.clear();
+    c.unanswered_messages.clear();
     c.last_delay = Duration{};
     c.moved = false;
     c.line = std::make_unique<LineConnection>(timers_.loop(), std::move(fd),
@@ -115,15 +115,15 @@
         sent_[c.request] = {who, c.balancer, text, false, -1, {}};
     }
     c.opened = timers_.now();
-    checker_.opened(c.opened, c.request, s.type, c.balancer);  // before any server can tell of it
+    checker_.opened(c.opened, c.request, s.type, c.balancer);  // before any server can report the request
     line.send(text);
     timers_.in(world_.traffic.types[s.type].deadline + millis(50),
                [this, who, request = c.request, alive = alive_] {
-                   if (*alive) guard_over(who, request);
+                   if (*alive) on_guard_time_elapsed(who, request);
                });
 }
 
-void ClientPopulation::guard_over(size_t who, uint64_t request) {
+void ClientPopulation::on_guard_time_elapsed(size_t who, uint64_t request) {
     Client& c = clients_[who];
     if (c.request != request || c.state != Client::State::asking) return;
     checker_.client_left(request, true);
@@ -140,13 +140,13 @@
     if (c.state != Client::State::up || !whole) return void(++garbled_);
     if (c.moved) return checker_.line_after_answer(timers_.now(), c.request);
     if (text.substr(0, 3) == "RE ") {
-        if (c.spoken.empty()) return void(++garbled_);
-        c.last_delay = timers_.now() - c.spoken.front();
-        c.spoken.pop_front();
+        if (c.unanswered_messages.empty()) return void(++garbled_);
+        c.last_delay = timers_.now() - c.unanswered_messages.front();
+        c.unanswered_messages.pop_front();
         return checker_.message(sessions_[who].type, c.last_delay);
     }
     if (text.substr(0, 3) == "UP ")
-        return checker_.answered(timers_.now(), c.request, Answer::up);  // once more
+        return checker_.answered(timers_.now(), c.request, Answer::up);  // reports the repeated UP
     if (text == "MOVE") return void(c.moved = true);
     if (text.substr(0, 5) != "LOAD " && text != "BYE") ++garbled_;
 }
@@ -162,7 +162,7 @@
         c.patience->came_up();
         const Duration every = world_.traffic.types[sessions_[who].type].message_every;
         timers_.in(every * chance_.uniform(), [this, who, request = c.request, alive = alive_] {
-            if (*alive) speak(who, request);
+            if (*alive) send_message(who, request);
         });
         return;
     }
@@ -177,13 +177,13 @@
                    : c.patience->after_failure(now, chance_));
 }
 
-void ClientPopulation::speak(size_t who, uint64_t request) {
+void ClientPopulation::send_message(size_t who, uint64_t request) {
     Client& c = clients_[who];
     if (c.request != request || c.state != Client::State::up || c.moved) return;
-    c.spoken.push_back(timers_.now());
-    c.line->send("SAY " + std::to_string(c.spoken.size()) + "\r\n");
+    c.unanswered_messages.push_back(timers_.now());
+    c.line->send("SAY " + std::to_string(c.unanswered_messages.size()) + "\r\n");
     timers_.in(world_.traffic.types[sessions_[who].type].message_every, [this, who, request, alive = alive_] {
-        if (*alive) speak(who, request);
+        if (*alive) send_message(who, request);
     });
 }
 
@@ -217,7 +217,7 @@
     c.state = Client::State::away;
     if (is_reconnect && !stopped_)
         return void(timers_.at(*is_reconnect, [this, who, alive = alive_] {
-            if (*alive) come(who);
+            if (*alive) connect_session(who);
         }));
     out_.gave_up += c.patience->gave_up();
     c.state = Client::State::over;
@@ -259,7 +259,8 @@
     checker_.balancer_died(balancer);
     const std::lock_guard held(book_);
     for (auto& [request, sent] : sent_)
-        if (sent.balancer == balancer) sent.ended_by_server = true;  // nobody is to blame for the cut
+        if (sent.balancer == balancer)
+            sent.ended_by_server = true;  // no rule is broken by this lost connection
 }
 
 void ClientPopulation::drop(double part) {
@@ -285,10 +286,11 @@
                                              [](const Client& c) { return c.state == Client::State::up; }));
 }
 
-// As in the model: up, and a message now would come back in time, as far as the client can tell.
+// As in the model: the connection is established, and as far as the client can tell, a message sent now would
+// be answered in time.
 bool ClientPopulation::served(const Client& c, const RequestClassSpec& row, TimePoint now) {
     if (c.state != Client::State::up || !well_served(row, c.last_delay)) return false;
-    return c.spoken.empty() || now - c.spoken.front() <= row.message_objective;
+    return c.unanswered_messages.empty() || now - c.unanswered_messages.front() <= row.message_objective;
 }
 
 void ClientPopulation::sample() {
@@ -296,7 +298,7 @@
     double asked = 0, served_now = 0;
     for (size_t who = 0; who < clients_.size(); ++who) {
         const Session& s = sessions_[who];
-        if (now < s.from) break;  // they stand in the order in which they come
+        if (now < s.from) break;  // sorted by start time
         if (now >= s.until) continue;
         const RequestClassSpec& row = world_.traffic.types[s.type];
         asked += row.revenue;
@@ -305,9 +307,9 @@
     out_.sample(world_, now, asked, served_now);
 }
 
-// ---- what the servers see ----
+// ---- events reported by the servers ----
 
-// The line must be the client's own but for the wait, which the balancer may shorten.
+// The line must equal the client's, except for the deadline, which the balancer may shorten.
 SeenByServers::Opened ClientPopulation::first_line(uint64_t request, std::string_view line) {
     const std::lock_guard held(book_);
     const auto it = sent_.find(request);
--- a/lab/testbed/client_population.h
+++ b/lab/testbed/client_population.h
@@ -1,7 +1,7 @@
-// The clients of a test bed: each session comes at its own time whatever the balancers do, opens a
-// connection, says what it wants, speaks every so often, and comes again after what befell it as its
-// ClientRetryPolicy says. Lives on one thread; servers on other threads may tell what they see, and the front
-// and deaths may be told there.
+// Simulates the clients of a test bed. Each session starts at its scheduled time, whatever the balancers do:
+// it opens a connection, sends its request, then sends messages at intervals, and reconnects after a failure
+// as its ClientRetryPolicy says. Runs on one thread; servers on other threads may report their events, and
+// other threads may report killed balancers and whether clients are sent to a balancer.
 #pragma once
 #include <atomic>
 #include <deque>
@@ -21,7 +21,8 @@
 
 class ClientPopulation : public SeenByServers, private LineConnection::Owner {
    public:
-    // `front`: where the balancers listen, and whether clients are sent there; a zone's own come first.
+    // Starts without balancers; add_balancer() adds them by number. Clients prefer balancers of their own
+    // zone.
     ClientPopulation(TimerQueue&, const scenario::Scenario&, std::vector<scenario::Session>, uint64_t seed,
                      scenario::InvariantChecker&, scenario::Outcome&);
     ~ClientPopulation() override;
@@ -29,19 +30,22 @@
     ClientPopulation& operator=(const ClientPopulation&) = delete;
 
     void add_balancer(std::string at);
-    // Whether a server could answer; who is cut off from one that cannot is owed no MOVE.
+    // Sets the test whether a server can answer. A client that loses its connection to a server that cannot
+    // answer need not get a MOVE first.
     void ask_servers(std::function<bool(int server)> answers) { answers_ = std::move(answers); }
     void front_sends(int balancer, bool on) { balancers_[balancer].sends = on; }
-    // Its connections come by way of another address from now on, a relay's; for those that come after.
+    // Sends new connections to the balancer through another address, a relay's.
     void reach_by(int balancer, const std::string& at);
-    void balancer_dies(int balancer);  // right before it does
-    void start();                      // from the timer queue's beginning on
+    void balancer_dies(int balancer);  // to be called right before the balancer is killed
+    void start();                      // starts the sessions' schedule at the start of the timer queue
     void sample();
-    void drop(double part);  // of those that are up: they end their connections and come again
-    void stop();             // ends all; nobody comes again
+    // Closes this part of the established connections and of those awaiting an answer; their clients
+    // reconnect.
+    void drop(double part);
+    void stop();  // ends all connections; no client reconnects
 
     size_t up() const;
-    size_t over() const { return over_; }  // sessions that want nothing more
+    size_t over() const { return over_; }  // sessions that have ended
     size_t sessions() const { return sessions_.size(); }
     const std::string& short_of() const { return short_of_; }
     uint64_t garbled_lines() const { return garbled_; }
@@ -64,15 +68,15 @@
         uint32_t tries = 0;
         bool is_reconnect = false, moved = false;
         TimePoint opened;
-        std::deque<TimePoint> spoken;  // messages that have not come back
+        std::deque<TimePoint> unanswered_messages;  // send times of messages without a reply yet
         Duration last_delay;
     };
     void on_bytes(LineConnection&, std::string_view, bool whole) override;
     void on_closed(LineConnection&, CloseReason) override;
     void on_connected(LineConnection&) override;
-    void come(size_t who);
-    void speak(size_t who, uint64_t request);
-    void guard_over(size_t who, uint64_t request);
+    void connect_session(size_t who);
+    void send_message(size_t who, uint64_t request);
+    void on_guard_time_elapsed(size_t who, uint64_t request);
     void answered(size_t who, std::string_view text);
     void away(size_t who, std::optional<TimePoint> is_reconnect);
     void hang_up(size_t who);
@@ -86,7 +90,7 @@
         explicit Place(std::string listen) : at(std::move(listen)), address(*Address::from(at)) {}
         std::string at;
         Address address;
-        double share = 1;  // of the clients, beside the others
+        double share = 1;  // weight for the clients' choice among balancers
         std::atomic<bool> sends{true};
     };
     TimerQueue& timers_;
@@ -103,11 +107,11 @@
         int balancer = -1;
         std::string line;
         bool ended_by_server = false;
-        int server = -1;  // of its latest attempt
-        TimePoint left;   // when its client went without an answer; zero: it did not
+        int server = -1;  // the server of its latest attempt
+        TimePoint left;   // when its client left without an answer; zero if it did not
     };
-    std::mutex book_;                          // of what follows, which servers read as well
-    std::unordered_map<uint64_t, Sent> sent_;  // by call, for the servers and for what comes late
+    std::mutex book_;                          // guards the members below, which server threads access too
+    std::unordered_map<uint64_t, Sent> sent_;  // by request id, for the servers and for late events
     std::deque<std::pair<TimePoint, uint64_t>> old_;
     std::function<bool(int)> answers_;
     std::string short_of_;
--- a/lab/testbed/datagram_relay.cpp
+++ b/lab/testbed/datagram_relay.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr size_t longest = 2048;
-constexpr int at_once = 64, roomy = 1 << 20;  // what a socket holds while the test bed's thread is elsewhere
+constexpr size_t max_datagram_bytes = 2048;
+constexpr int datagrams_per_wakeup = 64;
+constexpr int receive_buffer_bytes = 1 << 20;  // holds datagrams while the test bed's thread is busy
 
 uint64_t name_of(const sockaddr_storage& a) {
     const auto& in = reinterpret_cast<const sockaddr_in&>(a);
@@ -30,8 +31,10 @@
         const Address at = *Address::from(place.relay);
         relay->fd = Fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
         if (!relay->fd || bind(relay->fd.get(), reinterpret_cast<const sockaddr*>(&at.bytes), at.size) != 0)
-            throw std::runtime_error("no datagrams at " + place.relay + ": " + std::strerror(errno));
-        setsockopt(relay->fd.get(), SOL_SOCKET, SO_RCVBUF, &roomy, sizeof roomy);
+            throw std::runtime_error("cannot receive datagrams at " + place.relay + ": " +
+                                     std::strerror(errno));
+        setsockopt(relay->fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
+                   sizeof receive_buffer_bytes);
         senders_[name_of(relay->own.bytes)] = relay->number;
         ev_io_init(
             &relay->io,
@@ -52,13 +55,14 @@
 }
 
 void DatagramRelay::readable(int to) {
-    std::array<char, longest> bytes{};
-    for (int k = 0; k < at_once; ++k) {
+    std::array<char, max_datagram_bytes> bytes{};
+    for (int k = 0; k < datagrams_per_wakeup; ++k) {
         sockaddr_storage from{};
         socklen_t size = sizeof from;
         const ssize_t n = recvfrom(relays_[static_cast<size_t>(to)]->fd.get(), bytes.data(), bytes.size(), 0,
                                    reinterpret_cast<sockaddr*>(&from), &size);
-        if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) continue;  // of one sent to nobody
+        if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
+            continue;  // error of an earlier datagram that nothing received
         if (n < 0) return;
         const auto sender = senders_.find(name_of(from));
         if (sender == senders_.end()) {
--- a/lab/testbed/datagram_relay.h
+++ b/lab/testbed/datagram_relay.h
@@ -1,6 +1,6 @@
-// The network of datagrams between balancers, with links that go wrong by script. One socket for each
-// balancer: balancer i knows j by the relay's address R_j; what arrives at R_j from i goes on to j from R_i,
-// so that each hears the others at the addresses that its configuration names.
+// Relays datagrams between balancers over links with scripted faults. There is one relay socket for each
+// balancer: balancer i knows j by the relay's address R_j; a datagram that arrives at R_j from i is forwarded
+// to j from R_i, so that each balancer receives from the peer addresses that its configuration names.
 #pragma once
 #include <ev.h>
 
@@ -19,19 +19,19 @@
 class DatagramRelay {
    public:
     struct Place {
-        std::string own, relay;  // where balancer i speaks from; where the others reach it
+        std::string own, relay;  // the address balancer i sends from; the address the others send to
     };
     struct Counts {
         uint64_t sent = 0, bytes = 0, arrived = 0, foreign = 0;
     };
-    // Throws std::runtime_error where a relay's address cannot be had.
+    // Throws std::runtime_error if a relay's address cannot be bound.
     DatagramRelay(TimerQueue&, const std::vector<Place>&, const std::vector<scenario::FaultInjection>&,
                   uint64_t seed);
     ~DatagramRelay();
     DatagramRelay(const DatagramRelay&) = delete;
     DatagramRelay& operator=(const DatagramRelay&) = delete;
 
-    // Sees each as its sender sent it, whatever becomes of it.
+    // Sets the observer of each datagram as it was sent, whether or not it is delivered.
     void watch_by(std::function<void(TimePoint, int from, int to, std::string_view)> seen) {
         seen_ = std::move(seen);
     }
--- a/lab/testbed/event_loop_thread.cpp
+++ b/lab/testbed/event_loop_thread.cpp
@@ -7,7 +7,8 @@
 namespace headrouter::testbed {
 
 namespace {
-// Where it may: the test bed shares the cores with what it judges, and late it could judge nothing.
+// Nice value, set if permitted: the test bed shares the cores with the balancers it judges, and a test bed
+// that runs late cannot judge them.
 constexpr int ahead_of_balancers = -5;
 }  // namespace
 
--- a/lab/testbed/event_loop_thread.h
+++ b/lab/testbed/event_loop_thread.h
@@ -1,5 +1,6 @@
-// A thread with a loop and an timer queue of its own, for one part of a test bed. What lives on it is made
-// before it runs and destroyed after it has ended; in between only what says so may be called from elsewhere.
+// Runs one part of a test bed on its own thread, with its own event loop and timer queue. The objects on the
+// thread are created before it runs and destroyed after it has ended; in between, other threads may call only
+// functions that are documented as safe for it.
 #pragma once
 #include <functional>
 #include <mutex>
@@ -18,9 +19,9 @@
     EventLoopThread& operator=(const EventLoopThread&) = delete;
 
     TimerQueue& timers() { return timers_; }
-    void run();                             // the thread begins
-    void post(std::function<void()> what);  // done there soon
-    void end();                             // and waits for it; twice does nothing
+    void run();                             // starts the thread
+    void post(std::function<void()> what);  // runs `what` on the thread soon
+    void end();                             // ends the thread and waits for it; a second call does nothing
 
    private:
     struct Loop {
--- a/lab/testbed/failing_calls.cpp
+++ b/lab/testbed/failing_calls.cpp
@@ -23,7 +23,8 @@
                  : MAP_FAILED;
     const int error = errno;
     if (file >= 0) close(file);
-    if (place == MAP_FAILED) throw std::system_error(error, std::generic_category(), "cannot make " + path_);
+    if (place == MAP_FAILED)
+        throw std::system_error(error, std::generic_category(), "cannot create " + path_);
     table_ = new (place) FailingCallTable{};
     table_->seed = seed;
 }
--- a/lab/testbed/failing_calls_library.cpp
+++ b/lab/testbed/failing_calls_library.cpp
@@ -1,6 +1,6 @@
-// Loaded into a process by the lab (LD_PRELOAD): calls of the system fail as the table says that
-// HEADROUTER_FAILING_CALLS names. A process that is to be told but whose table is missing or of another size
-// ends with exit code 2.
+// Fails system calls of the process into which the lab loads this library (LD_PRELOAD), by the rules in the
+// table file that HEADROUTER_FAILING_CALLS names. If the variable is set but the table is missing or of
+// another size, the process ends with exit code 2.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -32,7 +32,7 @@
 }
 
 [[noreturn]] void refuse(const char* path) {
-    std::fprintf(stderr, "failing calls: '%s' is no table of %zu bytes\n", path, sizeof(FailingCallTable));
+    std::fprintf(stderr, "failing calls: '%s' is not a table of %zu bytes\n", path, sizeof(FailingCallTable));
     _exit(exit_code_of_bad_table);
 }
 
@@ -62,7 +62,7 @@
     return next >> weak_bits;
 }
 
-/// The error that this call is to fail with; 0 where it is to be made as it is.
+/// Returns the error that this call fails with; 0 if the call is made unchanged.
 int32_t injected_error(SystemCall call) {
     FailingCallTable* const faults = table();
     if (faults == nullptr) return 0;
@@ -77,7 +77,7 @@
     return -1;
 }
 
-/// Fails, or makes the call, of one byte at most where it is to be short.
+/// Fails the call or makes it; a short transfer is limited to one byte.
 template <class MakeCall>
 ssize_t transfer(SystemCall call, size_t size, MakeCall make_call) {
     const int32_t error = injected_error(call);
@@ -92,8 +92,8 @@
 
 }  // namespace
 
-// Each takes the place of the C library's by its linker name; of its own name, it is no second definition of
-// a function that the system's headers declare.
+// Each function replaces the C library's through its linker name. Its C++ name differs, so that it does not
+// redefine a function that the system's headers declare.
 extern "C" {
 
 int failing_accept4(int socket, sockaddr* address, socklen_t* size, int flags) __asm__("accept4");
@@ -124,7 +124,7 @@
 int failing_connect(int socket, const sockaddr* address, socklen_t size) {
     static const auto call = real<int(int, const sockaddr*, socklen_t)>("connect");
     const int32_t error = injected_error(SystemCall::connect);
-    if (error == EINTR) call(socket, address, size);  // it goes on by itself
+    if (error == EINTR) call(socket, address, size);  // an interrupted connect continues in the background
     return error > 0 ? fail_with(error) : call(socket, address, size);
 }
 
--- a/lab/testbed/fake_discovery.cpp
+++ b/lab/testbed/fake_discovery.cpp
@@ -162,7 +162,7 @@
     if (it == requests_.end()) return;
     const std::string all = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
                             std::to_string(text.size()) + "\r\n\r\n" + text;
-    // A few kilobytes go into the socket's own buffer; one that does not take them is not read from.
+    // A few kilobytes fit into the socket's buffer; if they do not, the peer is not reading, and is dropped.
     if (::send(it->second->fd.get(), all.data(), all.size(), MSG_NOSIGNAL) !=
         static_cast<ssize_t>(all.size()))
         drop(id);
@@ -183,7 +183,8 @@
     }
 }
 
-// Watches that stand are given up: what comes then is in the new manner.
+// Drops the open connections, so that balancers ask again and get answers in the new manner; a silent agent
+// keeps them open.
 void FakeDiscovery::set_manner(Manner manner) {
     if (manner_ == manner) return;
     manner_ = manner;
--- a/lab/testbed/fake_discovery.h
+++ b/lab/testbed/fake_discovery.h
@@ -1,5 +1,5 @@
-// A fake of discovery's agent on one balancer's machine: the whole list, watches, and what goes wrong
-// with them. Each balancer has an agent of its own, as on the platform; what it has written counts as told.
+// Fakes the discovery agent on one balancer's machine: full endpoint lists, watches, and their faults. Each
+// balancer has its own agent, as on the platform; a list written to the socket counts as received.
 #pragma once
 #include <http_parser.h>
 
@@ -25,12 +25,12 @@
    public:
     enum class Manner {
         sound,
-        silent,   // takes calls, answers nothing
-        garbled,  // answers what is no list, cut short or not even HTTP, in turn
-        late,     // answers when the watch is long over
-        back      // tells the list as it was at first, at a version before the present one
+        silent,   // accepts requests, does not answer
+        garbled,  // alternates between malformed lists, truncated answers and answers that are not HTTP
+        late,     // answers long after the watch has timed out
+        back      // serves the initial list, at a version before the current one
     };
-    // `told`: what has just been written to the balancer.
+    // `told` is called with the entries that were just written to the balancer.
     FakeDiscovery(TimerQueue&, std::string at, std::vector<Entry> first,
                   std::function<void(const std::vector<Entry>&, bool whole)> told);
     ~FakeDiscovery();
@@ -65,7 +65,7 @@
 
     TimerQueue& timers_;
     std::vector<Entry> first_;
-    std::map<ServerId, std::pair<int64_t, Entry>> entries_;  // with the version that changed each last
+    std::map<ServerId, std::pair<int64_t, Entry>> entries_;  // each with the version of its latest change
     std::function<void(const std::vector<Entry>&, bool)> told_;
     Manner manner_ = Manner::sound;
     int64_t version_ = 100;
--- a/lab/testbed/fake_server.cpp
+++ b/lab/testbed/fake_server.cpp
@@ -60,8 +60,8 @@
     conn.line->start();
 }
 
-// One that says nothing still reads: what it would find in its buffers when it goes on, and the end of a
-// connection, with which a balancer has given up whether or not anybody looks.
+// A silent server still reads: both the bytes it would find in its buffers when it resumes, and the end of a
+// connection, because a balancer that closes it has given up whether or not the server notices.
 void FakeServer::on_bytes(LineConnection& line, std::string_view bytes, bool whole) {
     const uint64_t id = line.id();
     const auto it = conns_.find(id);
@@ -71,12 +71,12 @@
         if (!whole) return seen_.garbled(number_, bytes), leave(id, CloseReason::fin, true);
         return opening(conn, bytes);
     }
-    // A message comes back behind the work that is piled up; balancers wait for UP before they send one.
+    // A message is answered after the queued work; balancers wait for UP before they forward one.
     if (!conn.standing) return seen_.garbled(number_, bytes);
     const std::string text = "RE " + std::string(bytes);
-    if (silent()) return void(when_back_.emplace_back([this, id, text] { say(id, text); }));
+    if (silent()) return void(when_back_.emplace_back([this, id, text] { send_line(id, text); }));
     const TimePoint now = timers_.now();
-    later(now + machine_.delay(now), [this, id, text] { say(id, text); });
+    later(now + machine_.delay(now), [this, id, text] { send_line(id, text); });
 }
 
 void FakeServer::opening(Conn& conn, std::string_view line) {
@@ -125,14 +125,14 @@
     conn.line->send("LOAD " + std::to_string(static_cast<int64_t>(opened.load)) + "\r\n");
 }
 
-void FakeServer::say(uint64_t id, std::string_view text) {
+void FakeServer::send_line(uint64_t id, std::string_view text) {
     if (silent())
-        return void(when_back_.emplace_back([this, id, owned = std::string(text)] { say(id, owned); }));
+        return void(when_back_.emplace_back([this, id, owned = std::string(text)] { send_line(id, owned); }));
     const auto it = conns_.find(id);
     if (it != conns_.end()) it->second.line->send(text);
 }
 
-// `by_server`: it ends the connection; otherwise the balancer has, and it is only followed.
+// `by_server`: the server ends the connection; otherwise the balancer has ended it, and the server follows.
 void FakeServer::leave(uint64_t id, CloseReason how, bool by_server) {
     const auto it = conns_.find(id);
     if (it == conns_.end()) return;
@@ -171,7 +171,7 @@
 
 void FakeServer::answer_again() {
     machine_.set_mode(timers_.now(), Mode::running);
-    if (silent()) return;  // it fell meanwhile
+    if (silent()) return;  // it has crashed in the meantime
     std::vector<std::function<void()>> owed;
     owed.swap(when_back_);
     for (const auto& what : owed) what();
@@ -207,7 +207,8 @@
     }
 }
 
-// Once a second to each balancer that holds a connection here, on its oldest one.
+// Reports a delay above a third of the tightest message objective to each balancer with a connection here, on
+// its oldest connection; called once a second.
 void FakeServer::tell_delay() {
     if (silent()) return;
     const double ms = to_seconds(machine_.delay(timers_.now())) * 1000;
--- a/lab/testbed/fake_server.h
+++ b/lab/testbed/fake_server.h
@@ -1,6 +1,6 @@
-// A fake of one of the platform's servers: the platform's line protocol round a SimulatedServer, which
-// decides what a set-up is answered and how long a message takes. What it sees goes to `SeenByServers`, for
-// the checker.
+// Fakes one of the platform's servers: speaks the platform's line protocol for a SimulatedServer, which
+// decides the answer to a set-up and the time a message takes. Reports its events to `SeenByServers`, for the
+// checker.
 #pragma once
 #include <memory>
 #include <string_view>
@@ -16,8 +16,8 @@
 
 class SeenByServers {
    public:
-    struct Opened {          // what the client that sent the line wants
-        bool known = false;  // some client sent this line, but for how long it waits
+    struct Opened {          // the request of the client that sent the line
+        bool known = false;  // whether a client sent this line, apart from its deadline
         int type = 0, balancer = 0;
         double load = 0;
         std::string group;
@@ -28,7 +28,7 @@
     virtual void attempt_ran(uint64_t request, int server) = 0;
     virtual void attempt_rejected(uint64_t request, int server) = 0;
     virtual void attempt_ended(uint64_t request, int server, bool by_server) = 0;
-    virtual void garbled(int server, std::string_view line) = 0;  // what no client sent
+    virtual void garbled(int server, std::string_view line) = 0;  // a line that no client sent
 };
 
 class FakeServer : private LineConnection::Owner {
@@ -40,13 +40,14 @@
     FakeServer& operator=(const FakeServer&) = delete;
 
     void die();     // connections are reset, new ones refused
-    void vanish();  // says nothing more, nothing comes up
-    void hang();    // takes connections and bytes, says nothing
+    void vanish();  // sends nothing more; new connections are never established
+    void hang();    // accepts connections and bytes, sends nothing
     void answer_again();
     void start_cold();  // a new process under the same id
     void drain();
-    void move_part(double part);  // of the standing ones: MOVE and the end
-    void look();  // several times a second: a machine that fell dies, delays are told each second
+    void move_part(double part);  // sends MOVE on this part of the established connections and ends them
+    void look();  // to be called several times a second: resets connections after an overload crash, reports
+                  // delays each second
     size_t connections() const { return conns_.size(); }
     bool short_of_descriptors() const { return acceptor_.short_of_descriptors(); }
 
@@ -65,7 +66,7 @@
     void set_up_done(uint64_t id, scenario::SimulatedServer::SetUp::How);
     void tell_delay();
     void leave(uint64_t id, CloseReason, bool by_server);
-    void say(uint64_t id, std::string_view);
+    void send_line(uint64_t id, std::string_view);
     void later(TimePoint, std::function<void()>);
     bool silent() const { return !machine_.answers(); }
 
@@ -76,15 +77,15 @@
     SeenByServers& seen_;
     LingeringCloser farewell_;
     std::unordered_map<uint64_t, Conn> conns_;
-    std::vector<std::function<void()>> when_back_;  // answers owed while it hung
+    std::vector<std::function<void()>> when_back_;  // answers held back while the server hung
     uint64_t last_ = 0;
     TimePoint told_at_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    Acceptor acceptor_;  // last: it may hand over a connection as soon as it is there
+    Acceptor acceptor_;  // last member: it may pass on a connection as soon as it exists
 };
 
-// The figure of a field such as "d=" in a client's first line; negative where there is none.
+// Returns the number in a field such as "d=" of a client's first line; negative if there is none.
 int64_t field_of(std::string_view line, std::string_view name);
-uint64_t request_of(std::string_view line);  // the id of an OPEN; 0 where there is none
+uint64_t request_of(std::string_view line);  // returns the id of an OPEN; 0 if there is none
 
 }  // namespace headrouter::testbed
--- a/lab/testbed/faulty_paths.cpp
+++ b/lab/testbed/faulty_paths.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr int first_server_relay_port = 8100;
-// A fault that resets connections does so again and again while it lasts.
+// A reset fault resets the connections at this interval while it lasts.
 constexpr Duration reset_interval = millis(200);
-// After a path has healed, what it held back still arrives.
+// After a path has healed, bytes that were held back still arrive for this long.
 constexpr Duration settling_time = seconds(2);
 
 }  // namespace
@@ -109,7 +109,7 @@
     }
 }
 
-// Balancers are not judged by what a path does to their connections.
+// Tells the checker which paths are faulty, so that balancers are not blamed for the connections there.
 void FaultyPaths::blame(const FaultInjection& injection, bool is_at_fault) {
     for (const int balancer : injection.balancers) {
         if (!is_fault_of_server_paths(injection.fault.kind)) {
@@ -121,7 +121,7 @@
     }
 }
 
-// All that is wrong with a path at once.
+// Combines all faults of a path that are active now.
 void FaultyPaths::apply_faults(const Path& path, TimePoint now) const {
     Relay::Fault combined;
     for (const size_t index : path.injections) {
--- a/lab/testbed/faulty_paths.h
+++ b/lab/testbed/faulty_paths.h
@@ -1,4 +1,5 @@
-/// Relays in the paths that a run's faults strike: from balancers to servers and from clients to balancers.
+/// Puts relays into the paths that a run's faults affect: from balancers to servers and from clients to
+/// balancers.
 #pragma once
 #include <map>
 #include <memory>
@@ -12,11 +13,11 @@
 
 namespace headrouter::testbed {
 
-/// Only pairs that some injection strikes go through a relay; those that the same injections strike share
-/// one.
+/// Routes only the pairs that some injection affects through a relay; pairs to the same target that the same
+/// injections affect share one.
 class FaultyPaths {
    public:
-    /// Where a balancer listens, and where the relay to it does.
+    /// Holds the address a balancer listens at and that of the relay to it.
     struct BalancerAddresses {
         std::string listen;
         std::string relay;
@@ -28,13 +29,13 @@
     FaultyPaths(const FaultyPaths&) = delete;
     FaultyPaths& operator=(const FaultyPaths&) = delete;
 
-    /// Where the balancer reaches the server: the server's own address, or a relay's.
+    /// Returns the address by which the balancer reaches the server: the server's own, or a relay's.
     const std::string& server_address(int balancer, int server) const;
-    /// The relays to balancers, by balancer, where clients have to go through one.
+    /// Returns the relay addresses of the balancers that clients have to reach through a relay, by balancer.
     const std::map<int, std::string>& client_relays() const { return client_relays_; }
 
     void run() { thread_.run(); }
-    /// The faults are played from `start` on.
+    /// Schedules the faults, with times counted from `start`.
     void begin(TimePoint start);
     void end() { thread_.end(); }
     EventLoopThread& thread() { return thread_; }
--- a/lab/testbed/fleet_clients.cpp
+++ b/lab/testbed/fleet_clients.cpp
@@ -32,7 +32,7 @@
     thread_.run();
 }
 
-// At the start there is nothing to sample yet, at the very end all clients are taken off.
+// The start is not sampled, since there are no connections yet; at the end all clients are disconnected.
 void FleetClients::sample() {
     if (samples_++ > 0) population_.sample();
     const TimePoint next = TimePoint{} + sample_every * samples_;
--- a/lab/testbed/fleet_clients.h
+++ b/lab/testbed/fleet_clients.h
@@ -1,4 +1,4 @@
-/// A part of a process fleet's clients, on a thread of their own.
+/// Runs a part of a process fleet's clients on their own thread.
 #pragma once
 #include <functional>
 #include <memory>
@@ -15,17 +15,18 @@
 
 class FleetClients {
    public:
-    /// `index` of this part among all, which tells its random numbers apart. `context` must outlive it.
+    /// `index`: the number of this part among all; it selects the random number stream. `context` must
+    /// outlive this object.
     FleetClients(FleetContext& context, std::vector<scenario::Session> sessions, uint64_t index,
                  const std::vector<std::string>& balancer_addresses);
     ~FleetClients() { thread_.end(); }
     FleetClients(const FleetClients&) = delete;
     FleetClients& operator=(const FleetClients&) = delete;
 
-    /// The clients themselves. Threads of servers, and whoever kills balancers, report to it what they did.
+    /// Returns the clients. Server threads, and the thread that kills balancers, report events to them.
     ClientPopulation& population() { return population_; }
 
-    /// The clients come from `start` on; the thread runs.
+    /// Starts the thread; the clients' schedule counts from `start`.
     void run(TimePoint start);
     void end() { thread_.end(); }
 
--- a/lab/testbed/fleet_context.cpp
+++ b/lab/testbed/fleet_context.cpp
@@ -8,7 +8,7 @@
 using namespace scenario;
 
 namespace {
-// Bytes on their way through the fakes may arrive this much later than a rule allows.
+// Transit through the fakes may delay bytes by this much beyond a rule's limit.
 constexpr Duration checker_slack = millis(50);
 }  // namespace
 
--- a/lab/testbed/fleet_context.h
+++ b/lab/testbed/fleet_context.h
@@ -1,4 +1,4 @@
-/// What the threads of a process fleet share.
+/// Holds the state that the threads of a process fleet share.
 #pragma once
 #include <atomic>
 #include <deque>
@@ -12,10 +12,9 @@
 
 namespace headrouter::testbed {
 
-/// A run's scenario with all that is drawn for it, and the states of servers that
-/// their threads publish for the others.
-/// Made before the threads run and kept until they have ended; all but the atomics and the checker, which
-/// locks, is fixed from then on.
+/// Holds a run's scenario with its random draws, and the server states that their threads publish for the
+/// others. Created before the threads run and kept until they have ended; while they run, only the atomics
+/// and the checker, which locks, change.
 struct FleetContext {
     FleetContext(const scenario::Scenario&, uint64_t seed, std::vector<std::string> server_addresses);
 
@@ -28,19 +27,19 @@
     uint64_t seed;
     std::vector<scenario::FaultInjection> injections;
     std::vector<scenario::ScheduledAction> actions;
-    std::vector<int> server_kinds;              ///< an index into the scenario's kinds for each server
-    std::vector<std::string> server_addresses;  ///< HOST:PORT of each
+    std::vector<int> server_kinds;              ///< by server: index into the scenario's kinds
+    std::vector<std::string> server_addresses;  ///< by server: HOST:PORT
     scenario::InvariantChecker checker;
     std::deque<std::atomic<bool>> is_answering;  ///< by server
     std::deque<std::atomic<bool>> has_fallen;    ///< by server: it was overloaded and its process died
-    std::atomic<bool> is_finished{false};        ///< the scenario's length is over
+    std::atomic<bool> is_finished{false};        ///< the scenario's length has elapsed
 };
 
-/// Whether an injection strikes this balancer, or the path from it to this server.
+/// Returns whether an injection affects this balancer, or the path from it to this server.
 bool strikes(const scenario::FaultInjection&, int balancer);
 bool strikes(const scenario::FaultInjection&, int balancer, int server);
 
-/// What an injection's fault concerns.
+/// Return which part of the deployment a fault affects.
 bool is_fault_of_server_paths(scenario::FaultKind);
 bool is_fault_of_client_paths(scenario::FaultKind);
 bool is_fault_of_endpoint_lists(scenario::FaultKind);
--- a/lab/testbed/fleet_endpoint_lists.cpp
+++ b/lab/testbed/fleet_endpoint_lists.cpp
@@ -76,7 +76,7 @@
     return delay;
 }
 
-// What has been written to a balancer is known there, by the rules that the checker judges.
+// The checker's rules assume that a balancer knows an entry once it has been written to its socket.
 void FleetEndpointLists::on_list_written(int balancer, const std::vector<Entry>& entries,
                                          bool is_whole_list) {
     const TimePoint now = thread_.timers().now();
@@ -108,7 +108,7 @@
         thread_.timers().at(action.at, [this, action] { apply(action); });
     for (const FaultInjection& injection : context_.injections) {
         const FaultKind kind = injection.fault.kind;
-        // Older lists are played with each change, see added_delay.
+        // An old list is applied as a delay of each change, see added_delay.
         if (!is_fault_of_endpoint_lists(kind) || kind == FaultKind::list_old) continue;
         if (kind == FaultKind::list_hidden)
             schedule_hiding(injection);
--- a/lab/testbed/fleet_endpoint_lists.h
+++ b/lab/testbed/fleet_endpoint_lists.h
@@ -1,4 +1,4 @@
-/// The endpoint lists of a process fleet: a fake of discovery for each balancer, on one thread.
+/// Serves the endpoint lists of a process fleet: a fake discovery for each balancer, on one thread.
 #pragma once
 #include <memory>
 #include <string>
@@ -11,27 +11,27 @@
 
 namespace headrouter::testbed {
 
-/// Each balancer's list has the addresses by which that balancer reaches the servers, changes when the
-/// schedule says so, and goes wrong where an injection strikes it.
+/// Gives each balancer a list with the addresses by which that balancer reaches the servers, applies the
+/// schedule's changes to it, and injects the faults that affect it.
 class FleetEndpointLists {
    public:
-    /// `addresses`: of the discovery of each balancer. The others must outlive it.
+    /// `addresses`: the discovery address of each balancer. `context` and `paths` must outlive this object.
     FleetEndpointLists(FleetContext& context, const FaultyPaths& paths,
                        const std::vector<std::string>& addresses);
     ~FleetEndpointLists() { thread_.end(); }
     FleetEndpointLists(const FleetEndpointLists&) = delete;
     FleetEndpointLists& operator=(const FleetEndpointLists&) = delete;
 
-    /// The lists are served from here on.
+    /// Starts to serve the lists.
     void run() { thread_.run(); }
-    /// Schedule and faults are played from `start` on.
+    /// Schedules actions and faults, with times counted from `start`.
     void begin(TimePoint start);
     void end() { thread_.end(); }
 
    private:
     struct ServerEntry {
         EndpointState state = EndpointState::active;
-        int64_t started_unix_ms = 0;  // zero for those that stood before the run
+        int64_t started_unix_ms = 0;  // zero for servers started before the run
     };
 
     ServerEntry& server_entry(int server) { return servers_[static_cast<size_t>(server)]; }
--- a/lab/testbed/fleet_servers.cpp
+++ b/lab/testbed/fleet_servers.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr int samples_a_second = 10;
-// As ServerTable::listed_weight.
+// Same as in ServerTable::listed_weight.
 constexpr double least_weight = 1e-3;
 constexpr double us_per_second = 1e6;
 constexpr double us_per_ms = 1000;
-// Of a server without slow start: more than any run sends.
+// Limit for a server without slow start: more requests than any run sends.
 constexpr double unlimited_cold_requests = 1e9;
 constexpr float server_is_down = -1;
 
@@ -43,7 +43,8 @@
     servers_.push_back({server, std::move(simulated), std::move(cold_requests), std::move(fake)});
 }
 
-// What all balancers may send a cold server within the overload window, in requests of mean work.
+// Returns how many requests of mean work all balancers together may send a cold server within the overload
+// window.
 double FleetServers::cold_request_limit(const ServerKind& kind) const {
     if (kind.slow_start_time.ns <= 0) return unlimited_cold_requests;
     const Scenario& scenario = context_.scenario;
@@ -67,7 +68,7 @@
     return it == servers_.end() ? nullptr : &*it;
 }
 
-// ---- what the servers see ----
+// ---- events reported by the servers ----
 
 ClientPopulation& FleetServers::clients_of(uint64_t request) const {
     return clients_of_session(session_of_request(request).value_or(0));
@@ -101,7 +102,7 @@
 
 void FleetServers::garbled(int server, std::string_view line) { clients_of_session(0).garbled(server, line); }
 
-// ---- what happens to the servers ----
+// ---- scheduled actions on the servers ----
 
 void FleetServers::apply(const ScheduledAction& action) {
     Server* server = find(action.target);
@@ -109,7 +110,7 @@
     using What = ScheduledAction::What;
     const bool stops_answering =
         action.what == What::die || action.what == What::vanish || action.what == What::hang;
-    // Known before any client can notice.
+    // Published before any client can notice.
     if (stops_answering) context_.is_answering[static_cast<size_t>(action.target)] = false;
     apply(action, *server, thread_.timers().now());
     publish_states();
--- a/lab/testbed/fleet_servers.h
+++ b/lab/testbed/fleet_servers.h
@@ -1,4 +1,4 @@
-/// A part of a process fleet's servers, on a thread of their own.
+/// Runs a part of a process fleet's servers on their own thread.
 #pragma once
 #include <memory>
 #include <string_view>
@@ -16,21 +16,21 @@
 
 namespace headrouter::testbed {
 
-/// What the servers see goes on to the clients' threads, which know whose request it is.
+/// Forwards the servers' events to the clients' threads, which know each request's client.
 class FleetServers : private SeenByServers {
    public:
-    /// `clients`: the population of each thread, in its order. All must outlive it.
+    /// `clients`: the population of each client thread, in thread order. All must outlive this object.
     FleetServers(FleetContext& context, std::vector<ClientPopulation*> clients);
     ~FleetServers() override { thread_.end(); }
     FleetServers(const FleetServers&) = delete;
     FleetServers& operator=(const FleetServers&) = delete;
 
-    /// Before the thread runs; `seed` of the server's own random numbers.
+    /// Adds a server, before the thread runs; `seed` is for the server's own random numbers.
     void add(int server, uint64_t seed);
 
-    /// The servers listen from here on.
+    /// Starts the thread; the servers listen from now on.
     void run() { thread_.run(); }
-    /// The schedule is played from `start` on.
+    /// Schedules the actions, with times counted from `start`.
     void begin(TimePoint start);
     void end() { thread_.end(); }
 
@@ -47,7 +47,8 @@
         scenario::ColdCount cold_requests;
         std::unique_ptr<FakeServer> fake;
     };
-    /// Work asked of each server over its capacity, in the order of `servers_`; negative: it is down.
+    /// Holds each server's requested work divided by its capacity, in the order of `servers_`; negative:
+    /// down.
     struct Utilization {
         size_t second = 0;
         std::vector<float> by_server;
--- a/lab/testbed/polling_client.h
+++ b/lab/testbed/polling_client.h
@@ -1,5 +1,5 @@
-// One line to an address and the answer to it, asked again and again without waiting: whether a process is
-// there yet.
+// Polls an address without blocking by sending one line until the expected answer arrives, to find out
+// whether a process is ready.
 #pragma once
 #include <string>
 
@@ -9,7 +9,7 @@
 
 class PollingClient {
    public:
-    // True once the answer holds `wanted`.
+    // Returns true once the answer contains `wanted`.
     bool heard(const std::string& at, const std::string& line, const std::string& wanted);
     void close() { fd_.close(); }
 
--- a/lab/testbed/process_fleet.cpp
+++ b/lab/testbed/process_fleet.cpp
@@ -24,14 +24,14 @@
 constexpr const char* gossip_relay_port = ":9091";
 constexpr int first_admin_port = 10000;
 
-// Streams of Pcg32, any that differ.
+// Pcg32 streams; their numbers only have to differ.
 constexpr uint64_t balancer_seeds_stream = 53;
 constexpr uint64_t server_seeds_stream = 41;
 
 constexpr int max_sockets_of_balancer = 4096;
 
-// A run is not judged where a timer of the lab was later than this, or more than this many timers were later
-// than TimerQueue::late_by.
+// A run is not judged if a timer of the lab fired later than max_lateness, or if more than max_times_late
+// timers fired later than TimerQueue::late_by.
 constexpr Duration max_lateness = millis(500);
 constexpr int max_times_late = 10;
 constexpr int64_t ns_per_ms = 1'000'000;
@@ -43,7 +43,7 @@
     return addresses;
 }
 
-/// The lateness of the threads of clients, servers and paths.
+/// Collects the lateness of the threads of clients, servers and paths.
 struct Lateness {
     Duration worst;
     int times_late = 0;
--- a/lab/testbed/process_fleet.h
+++ b/lab/testbed/process_fleet.h
@@ -1,8 +1,9 @@
-/// A fake deployment for hundreds of balancers on loopback, spread over threads: servers, clients, the
-/// endpoint list of each balancer, the datagrams between them and the paths that faults strike.
+/// Simulates a deployment for hundreds of balancers on loopback, spread over threads: servers, clients, the
+/// endpoint list of each balancer, the datagrams between balancers and the paths that faults affect.
 ///
-/// Its user brings the balancers as processes, and tells the fleet what it does to them. The addresses are
-/// the fleet's own (testbed/address_block.h), so that two fleets side by side never meet.
+/// The caller runs the balancers as processes, and reports to the fleet what it does to them. The fleet
+/// reserves its addresses (testbed/address_block.h), so that two fleets that run at the same time never share
+/// any.
 #pragma once
 #include <functional>
 #include <memory>
@@ -29,10 +30,10 @@
         std::string name;
         std::string listen;
         std::string discovery;
-        std::string gossip;        ///< where it sends and receives datagrams
-        std::string gossip_relay;  ///< where the other balancers send theirs to
+        std::string gossip;        ///< address that it sends and receives datagrams at
+        std::string gossip_relay;  ///< address that the other balancers send theirs to
     };
-    /// Sees a datagram as it was sent, whatever becomes of it: when, from and to which balancer, its bytes.
+    /// Receives each datagram as it was sent, delivered or not: time, sending and receiving balancer, bytes.
     using DatagramObserver = std::function<void(TimePoint, int from, int to, std::string_view)>;
 
     ProcessFleet(const scenario::Scenario&, uint64_t seed);
@@ -41,30 +42,30 @@
     ProcessFleet& operator=(const ProcessFleet&) = delete;
 
     const Seat& seat(int balancer) const { return seats_[static_cast<size_t>(balancer)]; }
-    /// The admin address of a balancer's process; each of its processes, counted from 0, has its own.
+    /// Returns the admin address of a balancer's process; each of its processes, counted from 0, has its own.
     std::string admin_address(int balancer, int process) const;
-    /// The configuration for such a process, as JSON.
+    /// Returns the configuration for such a process, as JSON.
     std::string config(int balancer, int process);
     const std::vector<scenario::FaultInjection>& injections() const { return context_.injections; }
     const std::vector<scenario::ScheduledAction>& actions() const { return context_.actions; }
-    /// To be set before open().
+    /// Sets the observer; to be called before open().
     void observe_datagrams(DatagramObserver);
 
-    /// Lists are served, servers listen, datagrams pass: balancers may start.
+    /// Starts discovery, servers and the datagram relay; balancers may start after it.
     void open();
-    /// All balancers take clients. Schedule and clients begin at `start` of the steady clock.
+    /// Starts schedule and clients at `start` of the steady clock; all balancers must accept clients by then.
     void begin(TimePoint start);
-    /// The scenario's length is over.
+    /// Returns whether the scenario's length has elapsed.
     bool is_finished() const { return context_.is_finished; }
-    /// Ends all threads and returns what there was to be seen.
+    /// Ends all threads and returns the outcome of the run.
     scenario::Outcome end();
 
-    // What is done to balancers, told right before it is done, by the thread that does it.
+    // Reports of actions on balancers, to be called right before the action by the thread that takes it.
     void on_balancer_killed(int balancer);
-    /// Whether clients are sent to the balancer.
+    /// Sets whether clients are sent to the balancer.
     void set_front_sends(int balancer, bool sends);
     scenario::InvariantChecker& checker() { return context_.checker; }
-    /// Time since the start of the run.
+    /// Returns the time since the start of the run.
     TimePoint now() const;
 
    private:
@@ -79,13 +80,13 @@
     Pcg32 random_;  // for the balancers' seeds
     int max_descriptors_;
     std::vector<Seat> seats_;
-    TimePoint started_at_;  // of the steady clock
+    TimePoint started_at_;  // by the steady clock
     std::vector<std::unique_ptr<FleetServers>> servers_;
     std::vector<std::unique_ptr<FleetClients>> clients_;
     std::unique_ptr<FaultyPaths> paths_;
     std::unique_ptr<FleetEndpointLists> endpoint_lists_;
     EventLoopThread datagram_thread_;
-    std::unique_ptr<DatagramRelay> datagrams_;  // none where the scenario has no gossip
+    std::unique_ptr<DatagramRelay> datagrams_;  // null if the scenario has no gossip
 };
 
 }  // namespace headrouter::testbed
--- a/lab/testbed/relay.cpp
+++ b/lab/testbed/relay.cpp
@@ -91,7 +91,7 @@
     way.bytes += static_cast<size_t>(n);
 }
 
-// True where more will be possible later without anything new coming in.
+// Returns true if more can be sent later without new bytes arriving.
 bool Relay::pump_way(Link& l, Way& way, Fd& to, bool to_near) {
     const TimePoint now = timers_.now();
     while (!way.held.empty()) {
--- a/lab/testbed/relay.h
+++ b/lab/testbed/relay.h
@@ -1,6 +1,6 @@
-// A network between two peers that goes wrong on a script: bytes are delayed, held, throttled, cut off in the
-// middle of a line, reset, or let through in one direction only; and all is well again when it heals. Each
-// way is buffered up to a bound, then no longer read, as a full pipe is.
+// Relays TCP connections between two peers with scripted faults: bytes are delayed, held or throttled, and
+// connections are cut in the middle of a line, reset, or passed in one direction only, until the path heals.
+// Each direction is buffered up to a limit; beyond it the sender is no longer read, like a full pipe.
 #pragma once
 #include <deque>
 #include <list>
@@ -15,9 +15,9 @@
    public:
     struct Fault {
         Duration delay;             // of every byte
-        bool stalled = false;       // nothing passes either way
-        bool half_open = false;     // what the far side says is lost, and it is not told of an end
-        double bytes_a_second = 0;  // 0: as fast as it goes
+        bool stalled = false;       // no bytes pass in either direction
+        bool half_open = false;     // bytes from the far side are lost, and it does not learn of an end
+        double bytes_a_second = 0;  // 0: unlimited
         int64_t cut_after = -1;     // bytes that still pass towards the near side; then the connection ends
     };
     Relay(TimerQueue&, std::string at, const std::string& to);
@@ -25,7 +25,7 @@
     Relay(const Relay&) = delete;
     Relay& operator=(const Relay&) = delete;
 
-    void set(const Fault&);  // for what stands and what comes
+    void set(const Fault&);  // for established and new connections
     void heal() { set({}); }
     void reset_all();  // RST to both sides of all connections
     void at(TimePoint when, Fault);
@@ -34,9 +34,9 @@
 
    private:
     struct Way {                                             // one direction
-        std::deque<std::pair<TimePoint, std::string>> held;  // with when each piece may go
+        std::deque<std::pair<TimePoint, std::string>> held;  // each with the time from which it may be sent
         size_t bytes = 0;
-        TimePoint free_from;  // under a throttle
+        TimePoint free_from;  // when the throttle permits the next send
         bool ended = false, told_end = false;
     };
     struct Link {
--- a/lab/testbed/test_bed.h
+++ b/lab/testbed/test_bed.h
@@ -1,5 +1,6 @@
-// A whole fake deployment on loopback: servers, an agent of the list for each balancer, the clients, and
-// the script of incidents. Whoever uses it brings the balancers: child processes, or ones in its own loop.
+// Simulates a whole deployment on loopback: servers, a discovery agent for each balancer, clients, and the
+// script of incidents. The caller provides the balancers: child processes, or balancers in its own event
+// loop.
 #pragma once
 #include <functional>
 #include <memory>
@@ -16,13 +17,13 @@
 
 class TestBed {
    public:
-    // Where a balancer listens, where its list is, and what it is told when it starts, as the platform words
-    // it.
+    // Holds a balancer's listen address, its discovery address, and its start configuration in the platform's
+    // format.
     struct Seat {
         std::string name, listen, discovery, config;
     };
     struct Balancers {
-        std::function<void(int)> start, kill;  // a life of the balancer with that number
+        std::function<void(int)> start, kill;  // starts or kills a process of the balancer with that number
     };
     TestBed(struct ev_loop*, const scenario::Scenario&, uint64_t seed, scenario::Outcome&);
     ~TestBed();
@@ -31,12 +32,12 @@
 
     const Seat& seat(int balancer) const { return seats_[balancer]; }
     const std::string& place(int server) const { return places_[server]; }
-    std::string fresh_config(int balancer);  // with a seed of its own and the list as it is now
-    bool ready(int balancer);                // answers PING with PONG; asked again and again
-    void begin(Balancers);                   // all ready: the script and the clients start
+    std::string fresh_config(int balancer);  // returns a configuration with a new seed
+    bool ready(int balancer);                // whether the balancer answers PING with PONG; to be polled
+    void begin(Balancers);                   // starts the script and the clients once all balancers are ready
     bool finished() const { return finished_; }
-    void finish();                   // the checker's last look
-    std::string not_judged() const;  // empty, or why nothing may be said of the balancer
+    void finish();                   // runs the checker's final checks
+    std::string not_judged() const;  // empty, or the reason why the balancer cannot be judged
 
     TimerQueue& timers() { return timers_; }
     ClientPopulation& clients() { return *clients_; }
--- a/lab/testbed/timer_queue.cpp
+++ b/lab/testbed/timer_queue.cpp
@@ -8,7 +8,8 @@
 
 TimerQueue::TimerQueue(struct ev_loop* loop) : loop_(loop), start_(Clock::now()) {
     ev_timer_init(
-        &timer_, [](struct ev_loop*, ev_timer* w, int) { static_cast<TimerQueue*>(w->data)->ring(); }, 0, 0);
+        &timer_, [](struct ev_loop*, ev_timer* w, int) { static_cast<TimerQueue*>(w->data)->run_due(); }, 0,
+        0);
     timer_.data = this;
 }
 
@@ -36,8 +37,8 @@
     ev_timer_start(loop_, &timer_);
 }
 
-// Only what was due when it began, so that sockets get their turn between.
-void TimerQueue::ring() {
+// Runs only the functions that were due when the call began, so that sockets are served in between.
+void TimerQueue::run_due() {
     const TimePoint until = now();
     const uint64_t known = counted_;
     while (!due_.empty() && due_.begin()->first.first <= until && due_.begin()->first.second < known) {
--- a/lab/testbed/timer_queue.h
+++ b/lab/testbed/timer_queue.h
@@ -1,6 +1,6 @@
-// What is to be done later, on one libev timer; and the time of a test bed, which counts from its start, so
-// that a script reads the same on the model and on sockets. Whoever is destroyed before its turn says so by
-// `Alive`.
+// Runs functions at later times on one libev timer, and keeps the time of a test bed, which counts from its
+// start, so that a script means the same on the model and on sockets. An owner that may be destroyed before
+// its function runs guards it with an `alive_` flag.
 #pragma once
 #include <ev.h>
 
@@ -21,20 +21,20 @@
     struct ev_loop* loop() const {
         return loop_;
     }
-    void begin();           // the test bed's time starts now
-    void begin(TimePoint);  // or started then, by the steady clock, for test beds on several threads
-    TimePoint now() const;  // since then
+    void begin();           // starts the test bed's time now
+    void begin(TimePoint);  // sets the start by the steady clock, for test beds on several threads
+    TimePoint now() const;  // the time since the start
     using Ticket = std::pair<TimePoint, uint64_t>;
     Ticket at(TimePoint, std::function<void()>);
     Ticket in(Duration span, std::function<void()> what) { return at(now() + span, std::move(what)); }
     void cancel(Ticket ticket) { due_.erase(ticket); }
-    // How late the loop was at worst in coming back to what was due, and how often by more than `late_by`.
+    // The largest lateness of a due function, and how often the lateness exceeded `late_by`.
     Duration worst_lateness() const { return worst_; }
     int times_late() const { return times_late_; }
     static constexpr Duration late_by = millis(100);
 
    private:
-    void ring();
+    void run_due();
     void arm();
     struct ev_loop* loop_;
     ev_timer timer_{};
