--- a/tests/lab_testbed/fake_clients.h
+++ b/tests/lab_testbed/fake_clients.h
@@ -1,4 +1,4 @@
-// What the tests of the stand-ins share: a loop that waits for events, and peers driven by hand.
+// Helpers for the tests of the fakes: an event loop that waits for conditions, and peers that a test drives.
 #pragma once
 #include <sys/socket.h>
 #include <unistd.h>
@@ -17,7 +17,8 @@
     ~Loop() { ev_loop_destroy(loop); }
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
-    // Turns until it holds; what never happens fails the test after ten seconds instead of hanging it.
+    // Runs the loop until the condition holds; returns false after ten seconds, so that a condition that
+    // never holds fails the test instead of hanging it.
     bool until(const std::function<bool()>& holds) const {
         const TimePoint end = Clock::now() + seconds(10);
         bool held = holds();
--- a/tests/lab_testbed/test_fake_discovery.cpp
+++ b/tests/lab_testbed/test_fake_discovery.cpp
@@ -20,7 +20,7 @@
     }
 };
 
-TEST(FakeDiscovery, TheWholeListThenAWatchThatBringsChangesAtOnce) {
+TEST(FakeDiscovery, ServesFullListThenSendsChangeToOpenWatchAtOnce) {
     Listening l;
     Peer p(l.at);
     Listening::ask(p);
@@ -38,7 +38,7 @@
     EXPECT_EQ(l.told[1], std::pair(size_t{1}, false));
 }
 
-TEST(FakeDiscovery, AWatchThatIsOverBringsNothingAndAnOldOneAllSince) {
+TEST(FakeDiscovery, TimedOutWatchGetsNoEntriesAndOlderVersionGetsAllChangesSince) {
     Listening l;
     Peer p(l.at);
     Listening::ask(p, "?since=100&timeout_ms=30");
@@ -51,7 +51,7 @@
     EXPECT_FALSE(p.has("s-0001"));
 }
 
-TEST(FakeDiscovery, SilentAnswersNothingGarbledNoListAndBackAnOldOne) {
+TEST(FakeDiscovery, SilentSendsNothingGarbledSendsInvalidListAndBackSendsOldList) {
     Listening l;
     l.agent.set_manner(FakeDiscovery::Manner::silent);
     Peer p(l.at);
@@ -78,7 +78,7 @@
     EXPECT_TRUE(last.has("s-0001"));
 }
 
-TEST(FakeDiscovery, WhatIsNoHttpIsDropped) {
+TEST(FakeDiscovery, DropsConnectionThatIsNotHttp) {
     Listening l;
     Peer p(l.at);
     p.write("\x01\x02 nonsense\r\n\r\n");
@@ -86,7 +86,7 @@
     EXPECT_EQ(l.agent.asked(), 0);
 }
 
-TEST(FakeDiscovery, ALateAnswerComesWhenTheAskerHasGivenUp) {
+TEST(FakeDiscovery, LateAnswerIsNotWrittenWhenRequesterHasClosed) {
     Listening l;
     l.agent.set_manner(FakeDiscovery::Manner::late);
     Peer p(l.at);
--- a/tests/lab_testbed/test_fake_server.cpp
+++ b/tests/lab_testbed/test_fake_server.cpp
@@ -5,7 +5,7 @@
 using namespace headrouter::testbed;
 using namespace headrouter::scenario;
 
-// What a server tells the checker, written down.
+// Records the events that a server reports to the checker.
 struct Seen : SeenByServers {
     std::map<uint64_t, std::string> happened;
     int garbled_lines = 0;
@@ -47,7 +47,7 @@
     }
 };
 
-TEST(FakeServer, ACallComesUpTellsItsLoadAndIsAnswered) {
+TEST(FakeServer, EstablishedRequestGetsItsLoadAndAnswersToMessages) {
     One o;
     Peer p = o.up();
     EXPECT_TRUE(o.until([&] { return p.has("LOAD 1000\r\n"); }));
@@ -58,7 +58,7 @@
     EXPECT_EQ(o.machine.connections(), 0);
 }
 
-TEST(FakeServer, WhatNoClientSentIsAnsweredSyntax) {
+TEST(FakeServer, AnswersSyntaxToLineThatNoClientSent) {
     One o;
     Peer p(o.at);
     p.write("OPEN 000000000000000f strange c=chat,d=1\r\n");
@@ -66,7 +66,7 @@
     EXPECT_EQ(o.seen.garbled_lines, 1);
 }
 
-TEST(FakeServer, FullIsBusyAndAnErrorIsErr) {
+TEST(FakeServer, AnswersBusyWhenFullAndErrOnError) {
     Scenario w = small_world(1);
     w.kinds[0].most_connections = 1;
     One o(w);
@@ -81,7 +81,7 @@
     EXPECT_EQ(o.seen.happened[3], "began ran ended");
 }
 
-TEST(FakeServer, ADeadOneResetsAndRefusesThenStartsCold) {
+TEST(FakeServer, DeadServerResetsAndRefusesConnectionsThenStartsCold) {
     Scenario w = small_world(1);
     w.kinds[0].cold_from = 0.5;
     w.kinds[0].slow_start_time = seconds(60);
@@ -98,14 +98,14 @@
     EXPECT_LT(o.machine.capacity(o.timers.now()), 600'000);
 }
 
-TEST(FakeServer, AHangingOneSaysNothingUntilItGoesOn) {
+TEST(FakeServer, HangingServerSendsNothingUntilItResumes) {
     One o;
     Peer standing = o.up();
     o.server.hang();
     standing.write("SAY 1\r\n");
     Peer asking = o.opened(8000), leaving = o.opened(8000);
     EXPECT_TRUE(o.until([&] { return o.server.connections() == 3 && !o.seen.happened[3].empty(); }));
-    leaving.fd.close();  // given up: seen although it hangs
+    leaving.fd.close();  // the server notices the close although it hangs
     EXPECT_TRUE(o.until([&] { return o.seen.happened[3] == "began ran left"; }));
     EXPECT_FALSE(standing.has("RE "));
     EXPECT_FALSE(asking.has("UP"));
@@ -113,7 +113,7 @@
     EXPECT_TRUE(o.until([&] { return standing.has("RE SAY 1\r\n") && asking.has("UP "); }));
 }
 
-TEST(FakeServer, NothingComesUpAtAVanishedOneUntilItIsBack) {
+TEST(FakeServer, VanishedServerEstablishesNoConnectionUntilItIsBack) {
     One o;
     Peer standing = o.up();
     o.server.vanish();
@@ -125,7 +125,8 @@
     EXPECT_EQ(errno, EAGAIN);
     socklen_t size = sizeof(sockaddr_storage);
     sockaddr_storage there{};
-    EXPECT_NE(getpeername(late.fd.get(), reinterpret_cast<sockaddr*>(&there), &size), 0);  // still on its way
+    EXPECT_NE(getpeername(late.fd.get(), reinterpret_cast<sockaddr*>(&there), &size),
+              0);  // connection not established yet
     EXPECT_FALSE(standing.over());
     o.server.start_cold();
     EXPECT_TRUE(o.until([&] { return standing.over(); }));
@@ -133,7 +134,7 @@
     o.up();
 }
 
-TEST(FakeServer, ADrainingOneTurnsAwayAndMovesPartByPart) {
+TEST(FakeServer, DrainingServerRejectsRequestsAndMovesConnectionsInParts) {
     One o;
     std::vector<Peer> standing;
     for (int k = 0; k < 4; ++k) standing.push_back(o.up());
@@ -151,7 +152,7 @@
     EXPECT_EQ(o.server.connections(), 0);
 }
 
-TEST(FakeServer, ASlowOneAnswersLateAndTellsOfIt) {
+TEST(FakeServer, SlowServerAnswersLateAndReportsItsDelay) {
     One o;
     o.seen.load = 900'000;
     Peer p = o.up();
@@ -162,16 +163,16 @@
     p.write("SAY 1\r\n");
     EXPECT_TRUE(o.until([&] { return o.server.look(), p.has("RE SAY 1\r\n"); }));
     EXPECT_GT(o.timers.now() - asked, millis(250));
-    const auto told_twice = [&] {
+    const auto reported_twice = [&] {
         return o.server.look(), p.read(), p.got.find("LOAD ") != p.got.rfind("LOAD ");
     };
-    EXPECT_TRUE(o.until(told_twice));
+    EXPECT_TRUE(o.until(reported_twice));
     const size_t told = p.got.rfind("LOAD ");
     EXPECT_GE(std::atoi(p.got.c_str() + told + 5), 300);
     EXPECT_LT(std::atoi(p.got.c_str() + told + 5), 20'000);
 }
 
-TEST(FakeServer, AColdOnePushedOverDiesAndStaysDown) {
+TEST(FakeServer, OverloadedColdServerDiesAndStaysDown) {
     Scenario w = small_world(1);
     w.overload_window = millis(300);
     w.kinds[0].cold_from = 0.1;
@@ -187,7 +188,7 @@
     EXPECT_TRUE(o.until([&] { return !refused.fd || pending_error(refused.fd.get()) == ECONNREFUSED; }));
 }
 
-TEST(FakeServer, FieldsAndIdsAreReadStrictly) {
+TEST(FakeServer, ParsesFieldsAndIdsStrictly) {
     EXPECT_EQ(field_of("OPEN 1 k c=a,d=250,t=x\r\n", "d"), 250);
     EXPECT_EQ(field_of("OPEN 1 dd=3,c=d", "d"), -1);
     EXPECT_EQ(request_of("OPEN 00000000000000ff k d=1\r\n"), 255);
@@ -196,7 +197,7 @@
     EXPECT_EQ(request_of("OPEN"), 0);
 }
 
-TEST(FakeServer, TwoBlocksNeverMeet) {
+TEST(FakeServer, AddressBlocksDoNotOverlap) {
     AddressBlock a(300), b(10);
     EXPECT_NE(a.host(0), b.host(0));
     EXPECT_NE(a.host(0), a.host(299));
--- a/tests/lab_testbed/test_faulty_balancer.cpp
+++ b/tests/lab_testbed/test_faulty_balancer.cpp
@@ -1,4 +1,4 @@
-// The test bed with a scripted fake for a balancer, which breaks one rule at a time: the checker must catch
+// Runs the test bed with a scripted fake balancer that breaks one rule at a time; the checker must detect
 // each.
 #include <iostream>
 #include <map>
@@ -9,29 +9,29 @@
 using namespace headrouter::testbed;
 using namespace headrouter::scenario;
 
-enum class Misdeed {
+enum class Violation {
     none,
     drops,
     never_answers,
-    says_more_after_busy,
+    sends_line_after_busy,
     two_servers,
-    both_at_once,
+    concurrent_attempts,
     ignores_drains,
-    pushes_cold,
+    overloads_cold_server,
     cuts,
-    garbles
+    changes_request_line
 };
 
-// Passes lines between a client and the first server, and does one thing wrong.
-class Fake : private LineConnection::Owner {
+// Forwards lines between a client and the first server, and violates one rule.
+class FakeBalancer : private LineConnection::Owner {
    public:
-    Fake(headrouter::testbed::TestBed& bed, struct ev_loop* loop, const Scenario& w,
-         std::vector<std::string> servers, Misdeed misdeed)
+    FakeBalancer(headrouter::testbed::TestBed& bed, struct ev_loop* loop, const Scenario& w,
+                 std::vector<std::string> servers, Violation violation)
         : bed_(bed),
           loop_(loop),
           world_(w),
           servers_(std::move(servers)),
-          misdeed_(misdeed),
+          violation_(violation),
           farewell_(loop),
           acceptor_(loop, bed.seat(0).listen, [this](Fd fd) { add(std::move(fd), 0, false); }) {
         discovery_ = std::make_unique<LineConnection>(loop, connect_to(*Address::from(bed.seat(0).discovery)),
@@ -58,7 +58,7 @@
         return id;
     }
     uint64_t call_server(size_t k, uint64_t client, std::string opening) {
-        if (misdeed_ == Misdeed::garbles) opening.replace(opening.find("c="), 3, "c=x");
+        if (violation_ == Violation::changes_request_line) opening.replace(opening.find("c="), 3, "c=x");
         const uint64_t id = add(connect_to(*Address::from(servers_[k])), client, true);
         ends_[id].line->send(opening);
         return id;
@@ -81,11 +81,13 @@
         }
         if (text.substr(0, 4) == "PING") return e.line->send("PONG\r\n");
         e.opening = text;
-        switch (misdeed_) {
-            case Misdeed::drops: return finish(line.id());
-            case Misdeed::never_answers: return;
-            case Misdeed::says_more_after_busy: e.line->send("BUSY\r\nLOAD 3\r\n"); return finish(line.id());
-            case Misdeed::both_at_once: call_server(1, 0, text); break;
+        switch (violation_) {
+            case Violation::drops: return finish(line.id());
+            case Violation::never_answers: return;
+            case Violation::sends_line_after_busy:
+                e.line->send("BUSY\r\nLOAD 3\r\n");
+                return finish(line.id());
+            case Violation::concurrent_attempts: call_server(1, 0, text); break;
             default: break;
         }
         e.other = call_server(0, line.id(), text);
@@ -94,15 +96,15 @@
         End& e = ends_[id];
         const uint64_t client = e.other;
         if (!ends_.contains(client)) return;
-        if (text.substr(0, 2) == "UP" && misdeed_ == Misdeed::two_servers &&
+        if (text.substr(0, 2) == "UP" && violation_ == Violation::two_servers &&
             !std::exchange(ends_[client].up, true)) {
             const std::string opening = ends_[client].opening;
-            finish(id);  // it ran there; and now again elsewhere
+            finish(id);  // the request ran on the first server and runs again on another
             ends_[client].other = call_server(1, client, opening);
             return;
         }
         ends_[client].line->send(text);
-        if (text.substr(0, 2) == "UP" && misdeed_ == Misdeed::cuts) finish(client), finish(id);
+        if (text.substr(0, 2) == "UP" && violation_ == Violation::cuts) finish(client), finish(id);
     }
     void on_closed(LineConnection& line, CloseReason) override {
         if (line.id() == 0) return;
@@ -115,7 +117,7 @@
     struct ev_loop* loop_;
     const Scenario& world_;
     std::vector<std::string> servers_;
-    Misdeed misdeed_;
+    Violation violation_;
     LingeringCloser farewell_;
     std::map<uint64_t, End> ends_;
     uint64_t last_ = 0;
@@ -144,17 +146,17 @@
     t.load = 20;
     w.traffic.ramp = seconds(1);
     w.traffic.retries = 0;
-    w.traffic.use = 0.2;  // the fake knows one server only
+    w.traffic.use = 0.2;  // the fake sends to one server only
     return w;
 }
 
-static Played play_fake(const Scenario& w, Misdeed misdeed) {
+static Played play_fake(const Scenario& w, Violation violation) {
     Loop loop;
     Played p;
     headrouter::testbed::TestBed bed(loop.loop, w, 3, p.out);
     std::vector<std::string> servers;
     for (int k = 0; k < w.servers; ++k) servers.push_back(bed.place(k));
-    Fake fake(bed, loop.loop, w, servers, misdeed);
+    FakeBalancer fake(bed, loop.loop, w, servers, violation);
     EXPECT_TRUE(loop.until([&] { return bed.ready(0); }));
     bed.begin({[](int) {}, [](int) {}});
     EXPECT_TRUE(loop.until([&] { return bed.finished(); }));
@@ -164,8 +166,8 @@
     return p;
 }
 
-TEST(FaultyBalancer, AFakeThatOnlyPassesOnBreaksNothing) {
-    const Played p = play_fake(hurried(Idempotency::non_idempotent), Misdeed::none);
+TEST(FaultyBalancer, FakeThatOnlyForwardsBreaksNoRule) {
+    const Played p = play_fake(hurried(Idempotency::non_idempotent), Violation::none);
     for (const std::string& e : p.out.examples) std::cerr << e << "\n";
     EXPECT_EQ(p.out.rules_broken(), 0);
     EXPECT_GT(p.out.up, 20);
@@ -173,37 +175,37 @@
     EXPECT_EQ(p.garbled, 0);
 }
 
-TEST(FaultyBalancer, EachMisdeedIsCaughtByItsRule) {
-    for (const auto& [misdeed, rule] : {std::pair{Misdeed::drops, Rule::request_lost},
-                                        {Misdeed::never_answers, Rule::request_lost},
-                                        {Misdeed::says_more_after_busy, Rule::request_lost},
-                                        {Misdeed::two_servers, Rule::executed_twice},
-                                        {Misdeed::both_at_once, Rule::concurrent_attempts},
-                                        {Misdeed::cuts, Rule::cut_without_move}}) {
-        const Played p = play_fake(hurried(Idempotency::non_idempotent), misdeed);
+TEST(FaultyBalancer, EachViolationIsDetectedByItsRule) {
+    for (const auto& [violation, rule] : {std::pair{Violation::drops, Rule::request_lost},
+                                          {Violation::never_answers, Rule::request_lost},
+                                          {Violation::sends_line_after_busy, Rule::request_lost},
+                                          {Violation::two_servers, Rule::executed_twice},
+                                          {Violation::concurrent_attempts, Rule::concurrent_attempts},
+                                          {Violation::cuts, Rule::cut_without_move}}) {
+        const Played p = play_fake(hurried(Idempotency::non_idempotent), violation);
         EXPECT_GT(p.broken(rule), 5);
     }
 }
 
-TEST(FaultyBalancer, ALineThatWasChangedIsSeenByTheServer) {
-    EXPECT_GT(play_fake(hurried(), Misdeed::garbles).garbled, 5);
+TEST(FaultyBalancer, ServerDetectsChangedRequestLine) {
+    EXPECT_GT(play_fake(hurried(), Violation::changes_request_line).garbled, 5);
 }
 
-TEST(FaultyBalancer, WhoGoesOnSendingToADrainedServerIsCaught) {
+TEST(FaultyBalancer, DetectsRequestsSentToDrainedServer) {
     Scenario w = hurried();
     w.servers = 1;
     w.incidents.push_back({IncidentKind::deploy, TimePoint{} + millis(300), seconds(2), 1, 1});
-    const Played p = play_fake(w, Misdeed::ignores_drains);
+    const Played p = play_fake(w, Violation::ignores_drains);
     EXPECT_GT(p.broken(Rule::drain_broken), 0);
 }
 
-TEST(FaultyBalancer, WhoPushesAColdServerOverIsCaught) {
+TEST(FaultyBalancer, DetectsOverloadOfColdServer) {
     Scenario w = hurried();
     w.overload_window = millis(200);
     w.kinds[0].cold_from = 0.05;
     w.kinds[0].slow_start_time = seconds(60);
     w.traffic.use = 1;
     w.incidents.push_back({IncidentKind::crash, TimePoint{} + millis(100), millis(100), 1, 1});
-    const Played p = play_fake(w, Misdeed::pushes_cold);
+    const Played p = play_fake(w, Violation::overloads_cold_server);
     EXPECT_GT(p.broken(Rule::cold_server_overloaded), 0);
 }
--- a/tests/lab_testbed/test_relay.cpp
+++ b/tests/lab_testbed/test_relay.cpp
@@ -3,7 +3,7 @@
 
 using namespace headrouter::testbed;
 
-// A peer on either side of a relay.
+// Sets up a peer on either side of a relay.
 struct Between : Loop {
     AddressBlock block{2};
     TimerQueue timers{loop};
@@ -17,7 +17,7 @@
     }
 };
 
-TEST(Relay, BytesAndEndsPassBothWays) {
+TEST(Relay, ForwardsBytesAndEndsInBothDirections) {
     Between b;
     b.near.write("hello\r\n");
     EXPECT_TRUE(b.until([&] { return b.far[0].has("hello\r\n"); }));
@@ -30,7 +30,7 @@
     EXPECT_TRUE(b.until([&] { return b.far[0].has("still\r\n"); }));
 }
 
-TEST(Relay, ADelayHoldsEveryByteBack) {
+TEST(Relay, DelayAppliesToEveryByte) {
     Between b;
     b.relay.set({millis(120)});
     const TimePoint sent = Clock::now();
@@ -39,7 +39,7 @@
     EXPECT_GE(Clock::now() - sent, millis(119));
 }
 
-TEST(Relay, AStallPassesNothingUntilItHeals) {
+TEST(Relay, StalledRelayPassesNothingUntilItHeals) {
     Between b;
     b.relay.set({Duration{}, true});
     b.near.write("held\r\n");
@@ -50,7 +50,7 @@
     EXPECT_TRUE(b.until([&] { return b.far[0].has("held\r\n"); }));
 }
 
-TEST(Relay, AThrottleLetsSoManyBytesASecond) {
+TEST(Relay, ThrottleLimitsBytesPerSecond) {
     Between b;
     Relay::Fault slow;
     slow.bytes_a_second = 20'000;
@@ -61,7 +61,7 @@
     EXPECT_GT(Clock::now() - sent, millis(200));
 }
 
-TEST(Relay, ACutEndsInTheMiddleOfALine) {
+TEST(Relay, CutEndsConnectionInMiddleOfLine) {
     Between b;
     Relay::Fault cut;
     cut.cut_after = 3;
@@ -72,7 +72,7 @@
     EXPECT_TRUE(b.until([&] { return b.far[0].over(); }));
 }
 
-TEST(Relay, AResetReachesBothSides) {
+TEST(Relay, ResetReachesBothSides) {
     Between b;
     b.relay.reset_all();
     EXPECT_TRUE(b.until([&] { return b.near.over() && b.far[0].over(); }));
@@ -81,7 +81,7 @@
     EXPECT_EQ(b.relay.connections(), 0);
 }
 
-TEST(Relay, HalfOpenLosesWhatTheFarSideSaysAndItsEnd) {
+TEST(Relay, HalfOpenPathLosesBytesFromFarSide) {
     Between b;
     Relay::Fault half;
     half.half_open = true;
@@ -93,7 +93,7 @@
     EXPECT_FALSE(b.near.over());
 }
 
-TEST(Relay, AScriptChangesItAtItsTime) {
+TEST(Relay, ScheduledFaultAppliesAtItsTime) {
     Between b;
     b.relay.at(b.timers.now() + millis(50), {Duration{}, true});
     b.relay.at(b.timers.now() + millis(150), {});
--- a/tests/lab_testbed/test_test_bed.cpp
+++ b/tests/lab_testbed/test_test_bed.cpp
@@ -1,4 +1,5 @@
-// The test bed with real balancers in the test's own loop, which must keep every rule through each incident.
+// Runs the test bed with real balancers in the test's own event loop; they must keep every rule in each
+// incident.
 #include <sys/resource.h>
 #include <sys/wait.h>
 
@@ -20,25 +21,25 @@
 };
 
 struct Real {
-    struct Life {
+    struct Process {
         headrouter::Clock clock;
         BootstrapConfig boot;
         std::unique_ptr<Balancer> balancer;
     };
     Loop& loop;
     headrouter::testbed::TestBed& bed;
-    std::ostringstream said;
-    Log log{said, LogLevel::warning};
+    std::ostringstream log_output;
+    Log log{log_output, LogLevel::warning};
     capture::RecorderConfig keeping{};
-    std::map<int, Life> lives{};
+    std::map<int, Process> processes{};
     void start(int b) {
-        Life& life = lives[b];
-        life.boot = parse_bootstrap_config(bed.fresh_config(b), life.clock);
-        life.balancer = std::make_unique<Balancer>(loop.loop, life.boot, life.clock, log);
-        if (!keeping.folder.empty()) life.balancer->start_recording(keeping);
-        life.balancer->start();
+        Process& process = processes[b];
+        process.boot = parse_bootstrap_config(bed.fresh_config(b), process.clock);
+        process.balancer = std::make_unique<Balancer>(loop.loop, process.boot, process.clock, log);
+        if (!keeping.folder.empty()) process.balancer->start_recording(keeping);
+        process.balancer->start();
     }
-    void kill(int b) { lives[b].balancer.reset(); }
+    void kill(int b) { processes[b].balancer.reset(); }
 };
 
 static Played play_real(const Scenario& w, std::map<std::string, uint64_t>* counted = nullptr,
@@ -55,8 +56,8 @@
     bed.finish();
     p.garbled = bed.clients().garbled_lines();
     if (counted)
-        for (auto& [b, life] : real.lives)
-            (*counted)["broken_invariants"] += life.balancer->counters()[Counter::broken_invariants];
+        for (auto& [b, process] : real.processes)
+            (*counted)["broken_invariants"] += process.balancer->counters()[Counter::broken_invariants];
     for (const std::string& e : p.out.examples) std::cerr << e << "\n";
     return p;
 }
@@ -76,7 +77,7 @@
     return w;
 }
 
-TEST(TestBed, TheRealOneKeepsTheRulesOnACalmDay) {
+TEST(TestBed, RealBalancersKeepRulesWithoutIncidents) {
     std::map<std::string, uint64_t> counted;
     const Played p = play_real(real_world(), &counted);
     EXPECT_EQ(p.out.rules_broken(), 0);
@@ -85,7 +86,7 @@
     EXPECT_EQ(counted["broken_invariants"], 0);
 }
 
-TEST(TestBed, TheRealOneKeepsThemThroughEachTrouble) {
+TEST(TestBed, RealBalancersKeepRulesInEachIncident) {
     for (const IncidentKind kind : {IncidentKind::crash, IncidentKind::vanish, IncidentKind::hang,
                                     IncidentKind::errors, IncidentKind::deploy, IncidentKind::reconnect,
                                     IncidentKind::list_garbled, IncidentKind::balancer_crash}) {
@@ -101,7 +102,7 @@
     }
 }
 
-TEST(TestBed, WhatARealOneWasToldOnABadDayReplays) {
+TEST(TestBed, CaptureOfRealBalancersInIncidentsReplaysTheSame) {
     capture::RecorderConfig keeping;
     keeping.folder = (std::filesystem::temp_directory_path() / ("rig-" + std::to_string(getpid()))).string();
     std::filesystem::create_directories(keeping.folder);
@@ -120,7 +121,7 @@
     std::filesystem::remove_all(keeping.folder);
 }
 
-TEST(TestBed, ALabThatIsShortOrLateSaysSoInsteadOfJudging) {
+TEST(TestBed, LabThatRanLateReportsThatInsteadOfJudging) {
     Loop loop;
     Outcome out;
     const Scenario w = real_world();
@@ -133,8 +134,8 @@
     EXPECT_NE(bed.not_judged().find("ran late"), std::string::npos);
 }
 
-// In a process of its own, as the limit stays.
-TEST(TestBed, ALabThatRunsOutOfDescriptorsDoesNotBlameTheBalancer) {
+// Runs in a child process, because the lowered limit cannot be raised again.
+TEST(TestBed, LabOutOfDescriptorsReportsThatInsteadOfBlamingBalancer) {
     const pid_t child = fork();
     if (child == 0) {
         const rlimit few{60, 60};
@@ -144,12 +145,13 @@
         const Scenario w = real_world();
         headrouter::testbed::TestBed bed(loop.loop, w, 3, out);
         bed.begin({[](int) {}, [](int) {}});
-        std::vector<Fd> all;  // as many as there are: what a test bed that is too large comes to
+        std::vector<Fd> all;  // uses up all descriptors, as a test bed that is too large does
         for (Fd fd = connect_to(*Address::from(bed.place(0))); fd;
              fd = connect_to(*Address::from(bed.place(0))))
             all.push_back(std::move(fd));
-        const bool told = loop.until([&] { return bed.not_judged() == "the lab ran out of descriptors"; });
-        _exit(told ? 0 : 1);
+        const bool reported =
+            loop.until([&] { return bed.not_judged() == "the lab ran out of descriptors"; });
+        _exit(reported ? 0 : 1);
     }
     int status = 0;
     waitpid(child, &status, 0);
