--- a/lab/testbed/client_population.h
+++ b/lab/testbed/client_population.h
@@ -90,7 +90,7 @@
         explicit Place(std::string listen) : at(std::move(listen)), address(*Address::from(at)) {}
         std::string at;
         Address address;
-        double share = 1;  // weight for the clients' choice among balancers
+        double share = 1;  // of the clients' choices, relative to the other balancers
         std::atomic<bool> sends{true};
     };
     TimerQueue& timers_;
@@ -110,7 +110,7 @@
         int server = -1;  // the server of its latest attempt
         TimePoint left;   // when its client left without an answer; zero if it did not
     };
-    std::mutex book_;                          // guards the members below, which server threads access too
+    std::mutex book_;                          // guards `sent_`, which server threads access too, and `old_`
     std::unordered_map<uint64_t, Sent> sent_;  // by request id, for the servers and for late events
     std::deque<std::pair<TimePoint, uint64_t>> old_;
     std::function<bool(int)> answers_;
--- a/src/fleet_load/fleet_load_aggregator.h
+++ b/src/fleet_load/fleet_load_aggregator.h
@@ -2,15 +2,15 @@
 /// servers evenly.
 ///
 /// Each balancer reports its loads, when they change, to one of the balancers, the aggregator. The aggregator
-/// sends all its reporters each server's headroom: how much of the next connections the server should get.
+/// sends all its reporters each server's headroom, which sets its fraction of the next connections.
 /// The aggregator is the first balancer that answers, in a random order seeded by the wall clock; the order
 /// changes with each epoch. A balancer that gets no answer for a while advances to the next candidate, so
 /// that any part of the fleet that can exchange messages pools its loads. docs/fleet-load.md gives the
 /// reasons for this design.
 ///
-/// This module sends no datagrams, sets no timers and places no requests. Points in time are on the policy's
-/// clock; `wall_time` is on the clock that all balancers share. A balancer whose wall clock is wrong causes
-/// no harm: it pools with other balancers.
+/// This module sends no datagrams, sets no timers and only proposes servers. Points in time are on the
+/// policy's clock; `wall_time` is on the clock that all balancers share. A balancer whose wall clock is wrong
+/// causes no harm: it pools with other balancers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -78,7 +78,7 @@
 
     /// Returns the server for the next connection according to the loads of all balancers. Returns nullopt if
     /// the balancer's own share must decide: without fresh headroom, when the headroom is used up
-    /// (ReceivedHeadroom::is_used_up), or when it leaves this connection to the own share
+    /// (ReceivedHeadroom::is_used_up), or when it leaves this connection to that share
     /// (ReceivedHeadroom::pick). `random` is between 0 and 1; as freshness falls, fewer values use the
     /// headroom.
     [[nodiscard]] std::optional<ServerIndex> pick(TimePoint now, double random);
--- a/src/policy/balancing_policy.h
+++ b/src/policy/balancing_policy.h
@@ -1,7 +1,7 @@
-/// Makes every decision of one balancer. This file passes each event to the class that decides on it:
-/// RequestPipeline (requests and their attempts), EndpointUpdater and EndpointTracker (the endpoint list),
-/// RebalanceCycle (migrations), GossipCoordinator (other balancers). docs/architecture.md lists the file of
-/// each rule.
+/// Decides the placement, retries and migrations of one balancer. This file passes each event to the class
+/// that decides on it: RequestPipeline (requests and their attempts), EndpointUpdater and EndpointTracker
+/// (the endpoint list), RebalanceCycle (migrations), GossipCoordinator (other balancers).
+/// docs/architecture.md lists the file of each rule.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -89,8 +89,8 @@
     void on_request(TimePoint, Request);
     /// Takes over a connection that another process established to the given server.
     void on_request_adopted(TimePoint, Request, const ServerId&);
-    /// Removes a request whose client has disconnected. Like every event of a request, it has no effect if
-    /// the id is unknown.
+    /// Forgets a request that ended for a reason other than its attempt, as when its client disconnects. Like
+    /// every event of a request, it has no effect if the id is unknown.
     void on_client_gone(TimePoint, RequestId);
     /// Records that the server accepted attempt `number` (from 0), `took` after the attempt was started.
     void on_attempt_established(TimePoint, RequestId, int number, Duration took);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -17,15 +17,15 @@
     const RequestState& request;
     const FleetView& fleet;
     double load = 0;  ///< load of the request, in mean load units
-    /// The server that recently failed the request's key, if the request arrives in the pause of the
+    /// The server that recently failed a request with this key, if this request arrives in the pause of the
     /// rebalance cycle.
     std::optional<ServerIndex> failed_server;
     double gossip_trust = 0;  ///< trust in the fleet load that gossip publishes, 0 to 1
 };
 
-/// Chooses servers. Changes no state but that of `random` and the rankings that are cached.
+/// Chooses servers. Changes no state but `random`, the cached rankings and the headroom that choices use up.
 ///
-/// If no server is returned, the request should be rejected: the servers could not serve further load.
+/// If choose() returns no server, the request should be given up: the servers could not serve further load.
 class Placement {
    public:
     /// Dependencies, which must outlive the placement.
@@ -51,16 +51,16 @@
           gossip_(parts.gossip),
           random_(parts.random) {}
 
-    /// Returns a cold server for which this balancer has a warm-up permit. Such a server goes before all
-    /// others; if there is none, choose() decides. The permits for a cold server rotate among all balancers.
-    /// If the server were drawn at random like any other, the few balancers that have a permit would hardly
-    /// ever draw it, and it would stay cold.
+    /// Returns a cold server for which this balancer has a warm-up permit and whose share is less than the
+    /// request's load. Such a server goes before all others; if there is none, choose() decides. Permits for
+    /// a cold server rotate among all balancers. If it were drawn at random like any other, the few balancers
+    /// that have a permit would hardly ever draw it, and it would stay cold.
     std::optional<ServerIndex> choose_cold(const PlacementContext&) const;
     /// Returns the server for the request. In passthrough mode, an affinity key is ranked like a group, so
     /// that every balancer sends the key's packets to the same server.
     std::optional<ServerIndex> choose(const PlacementContext&);
     /// Returns whether the server has room for the request. `in_group`: by the limit for members of a group,
-    /// who may exceed the share.
+    /// who may exceed the share. If there is a `failed_server`, any other that is open and not slow has room.
     bool has_room(const PlacementContext&, ServerIndex, bool in_group) const;
     /// Returns the server's subset draw divided by its weight. Of two servers, this balancer prefers the one
     /// with the lower rank.
@@ -75,28 +75,28 @@
         int at_load_limit = 0;  ///< number of them that are at their load limits
     };
 
-    /// Returns a random server among those that are below their shares, else the server that would be least
-    /// over its share. Where a share is less than one connection, the subset draw decides whether the server
-    /// takes a whole connection, which keeps the total over all balancers correct.
+    /// Returns a server by the published headroom, else a random one of those below their shares, else the
+    /// one that would be least over its share. Where a share is less than one connection, the subset draw
+    /// decides whether the server takes a whole connection, which keeps the total over all balancers correct.
     std::optional<ServerIndex> choose_at_random(const PlacementContext&);
     /// Returns a server for a new request by the published headroom, if there is one.
     std::optional<ServerIndex> choose_by_headroom(const PlacementContext&);
 
-    /// Returns a server for a member of a group. Members share work on the server they are at, so the group
-    /// should be on few servers. Balancers share no state, so each derives the group's ranking of the servers
-    /// from the group's name, and all get the same ranking. Order of preference: servers that have members of
-    /// the group, since the shared work is done there already; the group's preferred servers; any other
-    /// server with room.
+    /// Returns a server for a member of a group. Members share work on a server, so the group should use few.
+    /// Balancers need not agree on a ranking: each derives the same one from the name. Order: near servers
+    /// with members, where the shared work is done already; preferred servers; if gossip is trusted, those
+    /// with members in all zones; the rest of the ranking; the least over its share. While much of the fleet
+    /// is slow, returns nullopt if the chosen preferred server may be slow, or none has room and one is slow.
     std::optional<ServerIndex> choose_for_group(const PlacementContext&, const std::string& ranking_name);
-    /// Returns a server with room among the preferred servers: the first ones of the ranking whose shares
-    /// together have room for the group's part of this balancer's load. Sets the PreferredServers.
+    /// Sets the PreferredServers, by the group's part of this balancer's load, and returns the one with room
+    /// that has the lowest subset_rank(). For a key, returns the first server with room of the whole ranking.
     std::optional<ServerIndex> choose_preferred(const PlacementContext&, const fleet_load::RendezvousRanking&,
                                                 PreferredServers&) const;
     /// Returns the part of this balancer's load that the group's preferred servers should have room for, in
     /// mean load units. A balancer with few connections cannot tell what part of all is in a group.
     double expected_group_load(const PlacementContext&) const;
     /// Returns the best ranked server with room among those that have members of the group; unless
-    /// `all_zones`, only servers in near zones.
+    /// `all_zones`, only near ones, but without gossip trust this balancer's own members count in all zones.
     std::optional<ServerIndex> choose_with_members(const PlacementContext&,
                                                    const fleet_load::RendezvousRanking&,
                                                    bool all_zones) const;
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -146,7 +146,7 @@
 }
 
 // The previous process may still have the gossip address bound, or it may hang, and two processes must never
-// send gossip under the same replica index. No decision depends on gossip, so this process serves without it
+// send gossip under the same replica index. Gossip only improves placement, so this process serves without it
 // and tries to bind again in run_periodic_tasks().
 void Balancer::open_gossip_at_start() {
     if (config_.gossip_without_peers)
@@ -223,7 +223,8 @@
     if (!hot_restart_.has_handed_over() && !gossip_.is_open()) {
         try {
             open_gossip(config_);
-        } catch (const std::system_error&) {  // was logged at the start; the next interval tries again
+        } catch (const std::system_error&) {
+            // Logged at the start, unless it was a hot restart. The next interval tries again.
         }
     }
     capture_.check(now);
--- a/src/router/request_router.cpp
+++ b/src/router/request_router.cpp
@@ -167,8 +167,8 @@
               {{"requests", active_requests_.size()}, {"order", order == Order::first ? "first" : "last"}});
 }
 
-// Reports the requests to the policy as gone, so that its state is correct if the requests come back to this
-// process one by one.
+// Reports the requests to the policy as gone, so that its state is correct if the next process dies, this one
+// serves again and the requests come back to it one by one as their clients reconnect.
 void RequestRouter::detach_all() {
     const TimePoint now = environment_.now();
     const std::vector<RequestId> known_to_policy = active_requests_.sorted_ids_if(
--- a/src/upstream/report_classifier.h
+++ b/src/upstream/report_classifier.h
@@ -24,8 +24,8 @@
     double last_latency = 0;
 };
 
-/// Classifies the reports of all connections. One object is shared by all of them, since servers send their
-/// latency reports at the same phase of each second.
+/// Classifies the reports of all connections. One object is shared by all of them, since the servers' latency
+/// reports come at a few phases of each second.
 class ReportClassifier {
    public:
     /// The maximum number of phases of a second at which latency reports are expected.
@@ -45,7 +45,7 @@
     void set_min_latency(double min_latency_ms) { min_latency_ms_ = min_latency_ms; }
 
     /// Returns the kind of a report that arrived at `now`. If the report is undecided, it replaces an earlier
-    /// undecided report of the connection, which then counts as a load.
+    /// undecided report of the connection, which is dropped.
     [[nodiscard]] ReportKind classify(TimePoint now, ReportHistory& history, double value);
 
     /// Tries again to classify the undecided report of a connection, whose value stays in
--- a/src/upstream/upstream.cpp
+++ b/src/upstream/upstream.cpp
@@ -167,7 +167,7 @@
 void Upstream::on_connected(LineConnection& connection) {
     const RequestId id = connection.id();
     // While the connection was set up, the endpoint list may have changed or the client may have left. The
-    // router can still stop the request now; from its first byte on, it counts as sent.
+    // router can stop the request here for the last time before its first byte is sent.
     const bool may_send = events_->may_send(id);
     Attempt* attempt = find(id);
     if (!attempt) return;  // the router has ended the request in may_send
--- a/src/upstream/upstream.h
+++ b/src/upstream/upstream.h
@@ -36,7 +36,7 @@
     void pause_reading(RequestId id, bool is_paused) override;
     size_t unsent_bytes(RequestId id) const override;
 
-    /// Sets the latency from which on servers report it; zero means that they report loads only.
+    /// Sets the smallest latency that servers report; zero means that they report loads only.
     void set_min_reported_latency(double min_latency_ms) { classifier_.set_min_latency(min_latency_ms); }
 
     /// Closes this process's descriptors of all connections without sending anything to the servers: another
@@ -60,8 +60,8 @@
         Stage stage = Stage::connecting;
         TimePoint response_deadline;
         TimePoint timer_due;         ///< when the timer expires; unused once established
-        TimePoint unanswered_since;  ///< when the oldest line without an answer was forwarded; zero if there
-                                     ///< is none
+        TimePoint unanswered_since;  ///< when the first line after the server's latest was forwarded,
+                                     ///< plus stalls; zero if none was, or while reading is paused
         ReportHistory reports;
         bool received_bye = false;
         bool received_move = false;
--- a/tests/policy/test_rules.cpp
+++ b/tests/policy/test_rules.cpp
@@ -98,7 +98,7 @@
 }
 
 // Guards against warm-up permits that are hardly used. 300 balancers have three connections each; of forty
-// servers, five are half warm. Each server carries 22.5 of the 900 connections when warm and takes ten
+// servers, five are 65 % warm. Each server carries 22.5 of the 900 connections when warm and takes ten
 // seconds to warm up. Three times that rate is N = 6.75 in the one-second overload window, of which N / 2 +
 // sqrt(N) permits are issued: six for each server, thirty in all, about two of them to the same balancer.
 TEST(Rules, PrefersWarmingServerWhenPermitIsAvailable) {
